--- a/libs/entry/tarragonhall_entry/__init__.py
+++ b/libs/entry/tarragonhall_entry/__init__.py
@@ -1,4 +1,4 @@
-"""The entry role: callers' HTTP API, admission, queueing, routing and retry."""
+"""The entry role: the HTTP API for callers, admission, queueing, routing and retries."""
 
 from __future__ import annotations
 
--- a/libs/entry/tarragonhall_entry/_api.py
+++ b/libs/entry/tarragonhall_entry/_api.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP API."""
+"""The HTTP API for callers."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
     sse_event,
 )
 
-from tarragonhall_entry._access import Access, RefusedError
+from tarragonhall_entry._authentication import Authenticator, RefusedError
 from tarragonhall_entry._effects import Call
 from tarragonhall_entry._requests import (
     load_call,
@@ -49,8 +49,8 @@
 from tarragonhall_entry._responses import (
     closed_response,
     error_response,
-    info_value,
-    report_value,
+    program_json,
+    report_json,
     terminal_event,
 )
 from tarragonhall_entry._runner import CallRunner
@@ -58,28 +58,28 @@
 
 log = structlog.get_logger(__name__)
 
-CONTROL_SECONDS = 6.0
-# The final refusal of a call travels to its listeners through two commits at most.
+CONTROL_TIMEOUT_SECONDS = 6.0
+# Added to the call's timeout: the final refusal of a call takes at most two commits.
 ANSWER_GRACE_SECONDS = 0.5
-# With the freshness lease, longer than control takes to elect a leader; a process that is cut off
-# for good still says so soon.
+# Together with the freshness lease, longer than a leader election of control. A longer wait would
+# delay the refusal of an entry that has lost control for good.
 FRESH_WAIT_SECONDS = 1.5
 FRESH_POLL_SECONDS = 0.05
 FETCH_RETRY_MS = 1_000
 
 
 class CallersApi:
-    """Handlers of the callers' routes."""
+    """Handlers of the API's routes."""
 
     __slots__ = (
-        "_access",
+        "_authenticator",
         "_call_numbers",
         "_context",
         "_control",
         "_follower",
         "_runner",
         "is_ready",
-        "on_ended",
+        "on_program_ended",
     )
 
     def __init__(
@@ -87,20 +87,20 @@
         context: ProcessContext,
         control: ControlClient,
         follower: Follower,
-        access: Access,
+        authenticator: Authenticator,
         runner: CallRunner,
     ) -> None:
         self._context = context
         self._control = control
         self._follower = follower
-        self._access = access
+        self._authenticator = authenticator
         self._runner = runner
         self._call_numbers = itertools.count()
         self.is_ready = lambda: False
-        self.on_ended = lambda _info: None
+        self.on_program_ended = lambda _info: None
 
     def add_routes(self, server: HttpServer) -> None:
-        """Serve every path of the API."""
+        """Register every route of the API."""
         program = "/v1/programs/{program_id}"
         server.route("POST", "/v1/programs", self.open_program)
         server.route("GET", program, self.show_program)
@@ -112,7 +112,7 @@
         server.route("GET", "/readyz", self.readyz)
 
     def readyz(self, _request: HttpRequest) -> HttpResponse:
-        """Tell the balancer whether to send callers here."""
+        """Report to the load balancer whether this entry takes requests."""
         ready = self.is_ready()
         return HttpResponse(200 if ready else 503, {"ready": ready})
 
@@ -132,30 +132,30 @@
         )
         info = self._commit(command)
         self._context.timeline.add("program.opened", info.program_id, org=organisation.org_id)
-        return HttpResponse(201, info_value(info))
+        return HttpResponse(201, program_json(info))
 
     def show_program(self, request: HttpRequest) -> HttpResponse:
-        """Return a program with its history."""
+        """Return a program with its closed calls."""
         _, organisation = self._authenticate(request)
-        question = QueryProgram(request.parts["program_id"], organisation.org_id)
-        report = self._ask(question)
+        query = QueryProgram(request.parts["program_id"], organisation.org_id)
+        report = self._query(query)
         if not isinstance(report, ProgramReport):
             raise TypeError(f"unexpected reply {type(report).__name__}")
-        return HttpResponse(200, report_value(report))
+        return HttpResponse(200, report_json(report))
 
     def finish(self, request: HttpRequest) -> HttpResponse:
-        """End a program that has done its work."""
+        """End a program as finished."""
         return self._end(request, ProgramStatus.FINISHED)
 
     def cancel(self, request: HttpRequest) -> HttpResponse:
-        """End a program and stop what runs for it."""
+        """Cancel a program and stop its running call."""
         return self._end(request, ProgramStatus.CANCELLED)
 
     def show_call(self, request: HttpRequest) -> HttpResponse:
-        """Return what became of a call, however late."""
+        """Return the recorded result of a call, or 202 while it runs."""
         _, organisation = self._authenticate(request)
         program_id, seq = request.parts["program_id"], _seq(request.parts["seq"])
-        state = self._ask(QueryCall(program_id, seq, organisation.org_id))
+        state = self._query(QueryCall(program_id, seq, organisation.org_id))
         match state:
             case CallClosed():
                 return closed_response(program_id, seq, state)
@@ -165,8 +165,8 @@
         raise TypeError(f"unexpected reply {type(state).__name__}")
 
     def call(self, request: HttpRequest) -> HttpResponse:
-        """Run a call, or join it, or return its recorded answer."""
-        arrived = self._context.monotonic()
+        """Run a call, join it where it already runs, or return its recorded answer."""
+        arrived_at = self._context.monotonic()
         key_hash, organisation = self._authenticate_call(request)
         spec = load_call(request.json(), self._follower.model_by_name)
         call = Call(
@@ -176,13 +176,13 @@
             key_hash=key_hash,
             spec=spec,
             entry_id=self._context.instance,
-            deadline=arrived + spec.timeout_ms / 1000,
+            deadline=arrived_at + spec.timeout_ms / 1000,
             model_version=self._model_version(spec),
         )
         running = self._runner.start(call)
         if spec.stream:
             return HttpResponse(200, events=self._stream(running, call))
-        closed = running.wait(self._left(call))
+        closed = running.wait(self._seconds_left(call))
         return closed_response(call.program_id, spec.seq, closed or _still_running())
 
     def _model_version(self, spec: CallSpec) -> str | None:
@@ -192,7 +192,7 @@
     def _stream(self, running: RunningCall, call: Call) -> Iterator[bytes]:
         queue = running.listen()
         while True:
-            item = next_item(queue, self._left(call))
+            item = next_item(queue, self._seconds_left(call))
             match item:
                 case TextPart(index=index, text=text):
                     yield sse_event("chunk", {"index": index, "text": text})
@@ -203,14 +203,14 @@
                     yield terminal_event(call.program_id, call.spec.seq, closed)
                     return
 
-    def _left(self, call: Call) -> float:
+    def _seconds_left(self, call: Call) -> float:
         return call.deadline + ANSWER_GRACE_SECONDS - self._context.monotonic()
 
     def _authenticate_call(self, request: HttpRequest):
-        """Authenticate a call; a refusal says `not_run` only where the journal bears it out.
+        """Authenticate a call; a refusal says `not_run` only where the journal confirms it.
 
         The request may be a resend of a call that ran through another entry, or before its key was
-        withdrawn. Told `not_run`, its caller would have the work done a second time.
+        withdrawn. If it were refused with `not_run`, its caller would repeat the work.
         """
         try:
             return self._authenticate(request)
@@ -220,7 +220,7 @@
 
     def _execution(self, refusal: Refusal, request: HttpRequest) -> Execution:
         if refusal.code is not RefusalCode.UNAUTHENTICATED:
-            # An entry that cannot confirm its settings has nobody to ask.
+            # An entry that cannot confirm its settings cannot query control either.
             return Execution.UNKNOWN
         try:
             seq = load_seq(request.json())
@@ -228,22 +228,22 @@
             seq = None
         if seq is None:
             return Execution.UNKNOWN
-        return self._runner.ask_execution(request.parts["program_id"], seq)
+        return self._runner.query_execution(request.parts["program_id"], seq)
 
     def _authenticate(self, request: HttpRequest):
         self._wait_until_fresh()
         now = self._context.monotonic()
-        return self._access.authenticate(request.bearer(), now, self._context.wall_ms())
+        return self._authenticator.authenticate(request.bearer(), now, self._context.wall_ms())
 
     def _wait_until_fresh(self) -> None:
-        """Give the settings a moment to be confirmed again.
+        """Wait a limited time for the settings to be confirmed again.
 
-        While control elects a leader nothing can be confirmed, although nothing has changed. A call
-        refused then would have been served a second later, and its caller would come back anyway.
+        They cannot be confirmed while control elects a leader, which takes about a second. Calls
+        refused during an election would only be sent again.
         """
-        give_up = self._context.monotonic() + FRESH_WAIT_SECONDS
-        while not self._access.is_fresh(self._context.monotonic()):
-            if self._context.monotonic() >= give_up:
+        deadline = self._context.monotonic() + FRESH_WAIT_SECONDS
+        while not self._authenticator.is_fresh(self._context.monotonic()):
+            if self._context.monotonic() >= deadline:
                 return
             eventlet.sleep(FRESH_POLL_SECONDS)
 
@@ -252,21 +252,21 @@
         program_id = request.parts["program_id"]
         info = self._commit(EndProgram(program_id, organisation.org_id, status))
         self._context.timeline.add(f"program.{info.status.value}", program_id)
-        self.on_ended(info)
-        return HttpResponse(200, info_value(info))
+        self.on_program_ended(info)
+        return HttpResponse(200, program_json(info))
 
     def _commit(self, command: object) -> ProgramInfo:
         try:
-            result = self._control.propose(command, CONTROL_SECONDS)
+            result = self._control.propose(command, CONTROL_TIMEOUT_SECONDS)
         except UnavailableError as error:
             raise RefusedError(_unavailable(error)) from error
         if isinstance(result, Refusal):
             raise RefusedError(result)
         return result
 
-    def _ask(self, question: object) -> object:
+    def _query(self, query: object) -> object:
         try:
-            reply = self._control.ask(question, CONTROL_SECONDS)
+            reply = self._control.ask(query, CONTROL_TIMEOUT_SECONDS)
         except UnavailableError as error:
             raise RefusedError(_unavailable(error)) from error
         if isinstance(reply, Refusal):
@@ -275,7 +275,7 @@
 
 
 def on_error(error: Exception) -> HttpResponse:
-    """Return the response for any error that a handler let through."""
+    """Return the response for an exception raised by a handler."""
     response = error_response(error)
     if response is not None:
         return response
--- a/libs/entry/tarragonhall_entry/_access.py
+++ b/libs/entry/tarragonhall_entry/_authentication.py
@@ -1,4 +1,4 @@
-"""Which organisation a request runs for, decided from the settings in force here."""
+"""Authenticates requests against the settings that this entry follows."""
 
 from __future__ import annotations
 
@@ -15,16 +15,18 @@
 
 
 class RefusedError(TarragonhallError):
-    """A request is refused."""
+    """A request was refused; `refusal` is what its caller is sent."""
 
     def __init__(self, refusal: Refusal) -> None:
         super().__init__(refusal.message)
         self.refusal = refusal
 
 
-class Access:
-    """Checks keys against the follower. Nothing is remembered from one request to the next: a key
-    withdrawn from a caller who stays connected stops at its next request.
+class Authenticator:
+    """Checks API keys against the follower.
+
+    Results are not cached, so that a withdrawn key is rejected at the next request, also on a
+    connection that stays open.
     """
 
     __slots__ = ("_follower",)
@@ -44,11 +46,11 @@
         return key_hash, self._follower.organisation_by_id[org_id]
 
     def is_fresh(self, now: float) -> bool:
-        """Return whether the settings held here are confirmed at this instant."""
+        """Return whether the freshness lease on the settings is valid at `now`."""
         return self._follower.is_fresh(now)
 
     def check(self, key_hash: str, now: float, wall_ms: int) -> Refusal | None:
-        """Return why a key may not be used at this instant, or None."""
+        """Return why a key may not be used at `now`, or None where it may."""
         if not self._follower.is_fresh(now):
             return Refusal(
                 RefusalCode.STALE,
--- a/libs/entry/tarragonhall_entry/_effects.py
+++ b/libs/entry/tarragonhall_entry/_effects.py
@@ -1,7 +1,7 @@
-"""What the flow of a call asks its shell to do, and what it is told in return.
+"""The effects that the flow of a call requests from its runner, and their results.
 
-The flow is a generator without input or output: it yields one of these effects and is sent the
-result that the effect's docstring names. That makes every order of events a plain list in a test.
+The flow is a generator without I/O: it yields one of these effects and is sent the result that the
+effect's docstring names. A test can therefore write any order of events as a list.
 """
 
 from __future__ import annotations
@@ -11,18 +11,18 @@
 from tarragonhall_decisions import Failure
 from tarragonhall_model import AttemptId, CallSpec, Dispatch, ServerRecord
 
-# Three seconds at the pause of `_flow`: far more than the commits that the holder needs to get on.
-HELD_WAITS = 30
+# At the pause in `_flow` this makes 3 seconds, far more than the holder's next commits take.
+MAX_HOLDER_WAITS = 30
 
 
 @dataclass(slots=True)
 class Call:
     """One call at this entry. `deadline` is on this process's monotonic clock, in seconds.
 
-    `call_id` is this entry's own name for it: a resend with another body is another call here.
-    `unproven` is an attempt of which it is not known that it never ran, once there is one. `place`
-    is held for the first attempt where that was recorded together with the call. `waits` counts how
-    often it waited for the entry that holds the call.
+    `call_id` is local to this entry: a resend with another body gets another id. `unproven_attempt`
+    is an attempt that ran or may have run, if there is one. `slot` is held for the first attempt
+    where that was recorded in the same commit as the call. `holder_waits` counts how often the call
+    waited for the entry that holds it.
     """
 
     call_id: str
@@ -33,18 +33,18 @@
     entry_id: str
     deadline: float
     model_version: str | None = None
-    unproven: AttemptId | None = None
-    place: Assigned | None = None
-    waits: int = 0
+    unproven_attempt: AttemptId | None = None
+    slot: SlotAssigned | None = None
+    holder_waits: int = 0
 
     @property
-    def is_patient(self) -> bool:
-        """Return whether the entry that holds the call may have more time."""
-        return self.waits < HELD_WAITS
+    def may_wait_for_holder(self) -> bool:
+        """Return whether to go on waiting for the entry that holds the call."""
+        return self.holder_waits < MAX_HOLDER_WAITS
 
     @property
-    def name(self) -> tuple[str, int]:
-        """Return what identifies the call over all entries and resends."""
+    def key(self) -> tuple[str, int]:
+        """Return the identity of the call across entries and resends."""
         return (self.program_id, self.spec.seq)
 
 
@@ -56,22 +56,22 @@
 
 
 @dataclass(slots=True, frozen=True)
-class AskControl:
-    """Ask the leader a question. Result: its reply, or `Unavailable`."""
+class QueryControl:
+    """Send a query to the leader. Result: its reply, or `Unavailable`."""
 
-    question: object
+    query: object
 
 
 @dataclass(slots=True, frozen=True)
 class Unavailable:
-    """The control members did not answer; whether the command takes effect is unknown."""
+    """The control members did not reply; whether the command takes effect is unknown."""
 
     reason: str
 
 
 @dataclass(slots=True, frozen=True)
 class TakeToken:
-    """Take one call out of the organisation's rate. Result: None, or a `Refusal`."""
+    """Take a token from the organisation's token bucket. Result: None, or a `Refusal`."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -80,11 +80,12 @@
 
 
 @dataclass(slots=True, frozen=True)
-class WaitTurn:
-    """Wait in the queue for a place on a server. Result: `Assigned`, or a `Refusal`.
+class AcquireSlot:
+    """Queue for a slot on a server. Result: `SlotAssigned`, or a `Refusal`.
 
-    `started` says whether the program had a call before, `attained_tokens` what its calls used, and
-    `history_tokens` how long its prompt is. `excluded` are servers that already failed this call.
+    `started` says whether the program had an earlier call, `attained_tokens` how many tokens its
+    calls generated, and `history_tokens` how long its history is. `excluded` are the ids of servers
+    on which this call already failed.
     """
 
     started: bool
@@ -95,16 +96,17 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Assigned:
-    """A place on this server is held for the call until `EndPlace`."""
+class SlotAssigned:
+    """A slot on this server is held for the call until `ReleaseSlot`."""
 
     server: ServerRecord
 
 
 @dataclass(slots=True, frozen=True)
-class EndPlace:
-    """Give the place on the server back. Result: None. `tokens` were generated there; with `used`
-    unset nothing was sent there.
+class ReleaseSlot:
+    """Release the slot on the server. Result: None.
+
+    `tokens` is how many the server generated; `used` is False where nothing was sent to it.
     """
 
     answered: bool = False
@@ -113,9 +115,11 @@
 
 
 @dataclass(slots=True, frozen=True)
-class TryTurn:
-    """Take a place without waiting. Result: `Assigned`, None where none is free, or a `Refusal`
-    where the queue would refuse the call.
+class TryAcquireSlot:
+    """Take a slot without waiting.
+
+    Result: `SlotAssigned`, None where no slot is free, or a `Refusal` where the queue refuses the
+    call.
     """
 
     started: bool
@@ -131,17 +135,17 @@
 
 @dataclass(slots=True, frozen=True)
 class NotSent:
-    """There was no link, so the message never left this process."""
+    """The message was not sent, for lack of a link or because the link was overloaded."""
 
 
 @dataclass(slots=True, frozen=True)
 class LinkLost:
-    """The link broke or no reply came; whether the peer acted is unknown."""
+    """The link broke or no reply came; whether the peer received the message is unknown."""
 
 
 @dataclass(slots=True, frozen=True)
 class AwaitEnd:
-    """Wait for the end of an attempt. Result: `AttemptEnded`, `LinkLost` or `Expired`."""
+    """Await the end of an attempt. Result: `AttemptEnded`, `LinkLost` or `Expired`."""
 
     attempt: AttemptId
 
@@ -153,44 +157,44 @@
 
 @dataclass(slots=True, frozen=True)
 class Reattach:
-    """Ask the server's sidecar for an attempt. Result: `Accepted`, `Rejected` or `LinkLost`."""
+    """Attach to an attempt at its sidecar. Result: `Accepted`, `Rejected` or `LinkLost`."""
 
     attempt: AttemptId
 
 
 @dataclass(slots=True, frozen=True)
 class Acknowledge:
-    """Tell the sidecar that the end is committed. Result: None."""
+    """Notify the sidecar that the end of an attempt is committed. Result: None."""
 
     attempt: AttemptId
 
 
 @dataclass(slots=True, frozen=True)
 class Pause:
-    """Wait, but not past the deadline. Result: whether time is left."""
+    """Sleep, but not past the deadline. Result: whether time is left."""
 
     seconds: float
 
 
 @dataclass(slots=True, frozen=True)
 class FindServer:
-    """Look a server's life up in the view. Result: `ServerRecord`, or None where it is gone."""
+    """Look up an attempt's server incarnation in the view. Result: `ServerRecord`, or None."""
 
     attempt: AttemptId
 
 
 @dataclass(slots=True, frozen=True)
 class EntryInView:
-    """Look an entry up in the view. Result: whether it is there."""
+    """Look up an entry in the view. Result: whether it is there."""
 
     entry_id: str
 
 
 @dataclass(slots=True, frozen=True)
 class DecideRetry:
-    """Ask whether to try again after a failure. Result: `TryAgain` or `GiveUp` of `decisions`.
+    """Decide whether to retry after a failure. Result: `TryAgain` or `GiveUp` of `decisions`.
 
-    `unproven` counts those of the tries that may have run.
+    `unproven` counts the tries that ran or may have run.
     """
 
     failure: Failure
@@ -200,24 +204,27 @@
 
 @dataclass(slots=True, frozen=True)
 class CheckQuarantine:
-    """Ask whether the request crashes servers, after it was there. Result: None or a `Refusal`."""
+    """Check, after a crash, whether the request is quarantined. Result: None or a `Refusal`."""
 
 
 @dataclass(slots=True, frozen=True)
 class AwaitPredecessor:
-    """Wait for the end of the call before this one. Result: whether it is worth another look."""
+    """Wait for the program's previous call to end. Result: whether to try to open this call again.
+
+    `tries` counts the attempts to open it so far.
+    """
 
     tries: int
 
 
 @dataclass(slots=True, frozen=True)
-class Restart:
-    """A new attempt begins: what was streamed of the earlier one is void. Result: None."""
+class ResetStream:
+    """Discard the streamed chunks of the earlier attempt before a new one. Result: None."""
 
 
 @dataclass(slots=True, frozen=True)
-class Note:
-    """Record an event of the time line. Result: None."""
+class RecordEvent:
+    """Add an event to the timeline. Result: None."""
 
     kind: str
     fields: dict[str, object]
@@ -225,12 +232,12 @@
 
 Effect = (
     Commit
-    | AskControl
+    | QueryControl
     | TakeToken
     | CheckKey
-    | WaitTurn
-    | EndPlace
-    | TryTurn
+    | AcquireSlot
+    | ReleaseSlot
+    | TryAcquireSlot
     | SendDispatch
     | AwaitEnd
     | Reattach
@@ -241,6 +248,6 @@
     | DecideRetry
     | CheckQuarantine
     | AwaitPredecessor
-    | Restart
-    | Note
+    | ResetStream
+    | RecordEvent
 )
--- a/libs/entry/tarragonhall_entry/_flow.py
+++ b/libs/entry/tarragonhall_entry/_flow.py
@@ -1,9 +1,10 @@
-"""The flow of one call, from its tokens to its journalled end, as a generator without I/O.
+"""The flow of one call, from the rate limit to its recorded end, as a generator without I/O.
 
-The order of the commits is what keeps the promises. `OpenCall` comes before the queue, so that a
-resend finds the call wherever it is. `StartAttempt` comes before the dispatch, so that whoever
-takes over knows which server may have run it. `CloseCall` comes before the caller hears the end, so
-that no later answer can contradict it.
+The guarantees depend on the order of the commits:
+- `OpenCall` precedes the queue, so that a resend to any entry finds the call.
+- `StartAttempt` precedes the dispatch, so that an entry that takes over knows which server may have
+  run the call.
+- `CloseCall` precedes the response, so that no later answer can contradict it.
 """
 
 from __future__ import annotations
@@ -28,41 +29,46 @@
 )
 
 from tarragonhall_entry._attempt_flow import (
+    Abandoned,
     Failed,
-    GivenUp,
     follow_running,
     run_attempt,
     start_attempt,
 )
 from tarragonhall_entry._effects import (
-    AskControl,
-    Assigned,
+    AcquireSlot,
     AwaitPredecessor,
     Call,
     Commit,
     DecideRetry,
     Effect,
-    EndPlace,
-    Note,
     Pause,
-    Restart,
+    QueryControl,
+    RecordEvent,
+    ReleaseSlot,
+    ResetStream,
+    SlotAssigned,
     TakeToken,
-    TryTurn,
+    TryAcquireSlot,
     Unavailable,
-    WaitTurn,
 )
-from tarragonhall_entry._messages import next_attempt, turn_wish, unavailable, unknown
+from tarragonhall_entry._messages import (
+    next_attempt,
+    slot_request,
+    unavailable_refusal,
+    with_unknown_execution,
+)
 
-# Another entry holds the call: it needs a few commits to have it dispatched or gone.
-HELD_PAUSE_SECONDS = 0.1
-HELD_RETRY_MS = 1_000
+# The entry that holds a call needs a few commits to dispatch or to abandon it.
+HOLDER_PAUSE_SECONDS = 0.1
+HOLDER_RETRY_MS = 1_000
 
 Flow = Generator[Effect, object, CallClosed]
 Steps = Generator[Effect, object, object]
 
 
 def call_flow(call: Call) -> Flow:
-    """Run one call; return what the caller is told."""
+    """Run one call; return the result to send to the caller."""
     state = yield from _admit(call)
     while True:
         match state:
@@ -73,9 +79,9 @@
             case CallOpened():
                 state = yield from _attempt(call, state)
             case Unavailable(reason=reason):
-                return CallClosed(refusal=unavailable(reason))
+                return CallClosed(refusal=unavailable_refusal(reason))
             case Refusal():
-                yield Note("call.refused", {"seq": call.spec.seq, "code": state.code.value})
+                yield RecordEvent("call.refused", {"seq": call.spec.seq, "code": state.code.value})
                 return CallClosed(refusal=state)
             case _:
                 raise TypeError(f"unexpected state {type(state).__name__}")
@@ -85,10 +91,10 @@
     refusal = yield TakeToken()
     if refusal is not None:
         return (yield from _refuse_unopened(call, refusal))
-    place = (yield TryTurn(call.spec.seq > 1)) if _needs_no_prefix(call) else None
-    if isinstance(place, Refusal):
-        return (yield from _refuse_unopened(call, place))
-    result = yield from _open(call, place)
+    slot = (yield TryAcquireSlot(call.spec.seq > 1)) if _needs_no_prefix(call) else None
+    if isinstance(slot, Refusal):
+        return (yield from _refuse_unopened(call, slot))
+    result = yield from _open(call, slot)
     tries = 0
     while _is_early(result):
         tries += 1
@@ -99,23 +105,23 @@
 
 
 def _needs_no_prefix(call: Call) -> bool:
-    """Return whether a server can be chosen before the journal has told where the prefix is."""
+    """Return whether the choice of a server needs no prefix location from the journal."""
     return call.spec.kind is CallKind.SERVICE or call.spec.seq == 1
 
 
-def _open(call: Call, place: Assigned | None) -> Steps:
-    """Open the call; with a place at hand its first attempt is recorded in the same commit."""
+def _open(call: Call, slot: SlotAssigned | None) -> Steps:
+    """Open the call; with a slot, its first attempt is recorded in the same commit."""
     command = _open_command(call)
-    if place is not None:
-        command = replace(command, first_attempt=next_attempt(call, 1, place.server))
+    if slot is not None:
+        command = replace(command, first_attempt=next_attempt(call, 1, slot.server))
     result = yield Commit(command)
     if isinstance(result, CallOpened):
-        yield Note("call.opened", {"seq": call.spec.seq, "target": call.spec.target})
+        yield RecordEvent("call.opened", {"seq": call.spec.seq, "target": call.spec.target})
         if result.started:
-            call.place = place
+            call.slot = slot
             return result
-    if place is not None:
-        yield EndPlace(used=False)
+    if slot is not None:
+        yield ReleaseSlot(used=False)
     return result
 
 
@@ -128,71 +134,76 @@
 
 
 def _refuse_unopened(call: Call, refusal: Refusal) -> Steps:
-    """Refuse a call that this entry did not open, unless the journal already knows it.
+    """Refuse a call that this entry did not open, unless the journal has it as running or closed.
 
-    It may be a resend of a call that ran through another entry. To refuse it with `not_run`
-    would be untrue, and a caller who believes it would have the work done a second time.
+    It may be a resend of a call that ran through another entry. If it were refused with `not_run`,
+    the caller would repeat the work.
     """
-    known = yield AskControl(QueryCall(call.program_id, call.spec.seq, call.org_id))
-    match known:
+    recorded = yield QueryControl(QueryCall(call.program_id, call.spec.seq, call.org_id))
+    match recorded:
         case CallClosed() | CallRunning():
             return (yield from _reopen(call))
         case Unavailable():
-            return unknown(refusal)
+            return with_unknown_execution(refusal)
         case _:
             return refusal
 
 
 def _attempt(call: Call, opened: CallOpened) -> Steps:
-    """Make one attempt after another until the call is closed, held elsewhere or given up."""
+    """Make attempts until the call is closed, held by another entry or abandoned."""
     excluded: set[str] = set()
     attempts = opened.attempts
     tries = 0
     unproven = 0
     while True:
         tries += 1
-        if call.place is not None:
-            turn, call.place = call.place, None
-            attempt = next_attempt(call, attempts, turn.server)
-            outcome = yield from run_attempt(call, opened, attempt, turn.server)
+        if call.slot is not None:
+            assigned, call.slot = call.slot, None
+            attempt = next_attempt(call, attempts, assigned.server)
+            outcome = yield from run_attempt(call, opened, attempt, assigned.server)
         else:
-            turn = yield WaitTurn(*turn_wish(call, opened), frozenset(excluded))
-            if not isinstance(turn, Assigned):
-                return (yield from _give_up(call, turn))
+            assigned = yield AcquireSlot(*slot_request(call, opened), frozenset(excluded))
+            if not isinstance(assigned, SlotAssigned):
+                return (yield from _abandon(call, assigned))
             attempts += 1
-            attempt = next_attempt(call, attempts, turn.server)
-            outcome = yield from start_attempt(call, opened, attempt, turn.server)
-        yield _end_place(outcome)
+            attempt = next_attempt(call, attempts, assigned.server)
+            outcome = yield from start_attempt(call, opened, attempt, assigned.server)
+        yield _release_slot(outcome)
         match outcome:
-            case GivenUp(refusal=refusal):
-                return (yield from _give_up(call, refusal))
-            case Failed(failure=failure, proven=proven):
-                excluded.add(turn.server.server_id)
-                unproven += not proven
+            case Abandoned(refusal=refusal):
+                return (yield from _abandon(call, refusal))
+            case Failed(failure=failure, proven_not_run=proven_not_run):
+                excluded.add(assigned.server.server_id)
+                unproven += not proven_not_run
             case _:
                 return outcome
         decision = yield DecideRetry(failure, tries, unproven)
         if not isinstance(decision, TryAgain):
-            return (yield from _give_up(call, _with_detail(decision.refusal, outcome)))
-        yield Restart()
+            return (yield from _abandon(call, _with_detail(decision.refusal, outcome)))
+        yield ResetStream()
         if decision.after_s:
             yield Pause(decision.after_s)
 
 
-def _end_place(outcome: object) -> EndPlace:
+def _release_slot(outcome: object) -> ReleaseSlot:
     if isinstance(outcome, CallClosed) and outcome.answer is not None:
-        return EndPlace(True, outcome.answer.usage.generated)
-    return EndPlace()
+        return ReleaseSlot(True, outcome.answer.usage.generated)
+    return ReleaseSlot()
 
 
 def _with_detail(refusal: Refusal, failed: Failed) -> Refusal:
     return replace(refusal, message=f"{refusal.message}: {failed.detail}")
 
 
-def _give_up(call: Call, refusal: Refusal) -> Steps:
-    """End an open call without an answer; only the journal's word makes `not_run` true."""
-    if call.unproven is not None:
-        result = yield Commit(CloseCall(call.unproven, refusal=unknown(refusal)))
+def _abandon(call: Call, refusal: Refusal) -> Steps:
+    """End an open call without an answer.
+
+    Only `CallAbandoned` from the journal confirms that the call did not run and will not.
+    """
+    if call.unproven_attempt is not None:
+        result = yield Commit(
+            CloseCall(call.unproven_attempt, refusal=with_unknown_execution(refusal))
+        )
     else:
         command = AbandonCall(call.program_id, call.spec.seq, call.org_id, call.entry_id)
         result = yield Commit(command)
@@ -200,45 +211,46 @@
         case CallAbandoned():
             return refusal
         case Unavailable():
-            return unknown(refusal)
+            return with_unknown_execution(refusal)
         case _:
             return result
 
 
 def _join(call: Call, running: CallRunning) -> Steps:
-    """Join a call that another entry opened, or that this entry opened before it lost it."""
+    """Join a call that another entry opened, or that this entry opened in an earlier flow."""
     if running.attempt is None:
         return (yield from _wait_for_holder(call, running))
     outcome = yield from follow_running(call, running)
     match outcome:
         case None:
             return (yield from _wait_for_holder(call, running))
-        case Failed(proven=True):
+        case Failed(proven_not_run=True):
             return (yield from _reopen(call))
         case Failed():
             decision = yield DecideRetry(outcome.failure, 1, 1)
             if not isinstance(decision, TryAgain):
-                return (yield from _give_up(call, _with_detail(decision.refusal, outcome)))
-            yield Restart()
+                return (yield from _abandon(call, _with_detail(decision.refusal, outcome)))
+            yield ResetStream()
             return (yield from _reopen(call))
-        case GivenUp(refusal=refusal):
-            return (yield from _give_up(call, refusal))
+        case Abandoned(refusal=refusal):
+            return (yield from _abandon(call, refusal))
     return outcome
 
 
 def _wait_for_holder(call: Call, running: CallRunning) -> Steps:
-    """Give the entry that holds a call time to get on with it, then look again.
+    """Pause for the entry that holds a call, then query its state again by reopening it.
 
-    It may have given the call up while control did not answer. So its call is taken over in the
-    end; if it is still at it after all, the journal lets only one of both start an attempt.
+    The holder may have abandoned the call while control did not reply, so the call is taken over
+    after `MAX_HOLDER_WAITS` pauses. If the holder is still active, the journal lets only one of the
+    two entries start an attempt.
     """
-    call.waits += 1
-    if not (yield Pause(HELD_PAUSE_SECONDS)):
+    call.holder_waits += 1
+    if not (yield Pause(HOLDER_PAUSE_SECONDS)):
         return Refusal(
             RefusalCode.DEADLINE,
             f"the call is still held by {running.entry_id}",
             Execution.UNKNOWN,
-            HELD_RETRY_MS,
+            HOLDER_RETRY_MS,
         )
     return (yield from _reopen(call))
 
@@ -253,6 +265,6 @@
         call.org_id,
         call.spec,
         call.entry_id,
-        lost_attempt=call.unproven,
-        take_over=not call.is_patient,
+        lost_attempt=call.unproven_attempt,
+        take_over=not call.may_wait_for_holder,
     )
--- a/libs/entry/tarragonhall_entry/_following.py
+++ b/libs/entry/tarragonhall_entry/_follower.py
@@ -1,4 +1,4 @@
-"""The follower of an entry: it passes each change on to those who act on it."""
+"""The follower of an entry, which forwards changes to the rate limiter, scheduler and links."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 from tarragonhall_wire import ProcessContext
 
 from tarragonhall_entry._scheduler import Scheduler
-from tarragonhall_entry._turns import Turns
+from tarragonhall_entry._slot_queue import SlotQueue
 
 
 class EntryFollower(Follower):
-    """The settings and the view in force, also for the rate limiter and the scheduler."""
+    """Follows settings and views, and applies them to the rate limiter and the scheduler."""
 
-    __slots__ = ("_context", "_rates", "_scheduler", "turns")
+    __slots__ = ("_context", "_rates", "_scheduler", "slot_queue")
 
     def __init__(self, context: ProcessContext, rates: Rates, scheduler: Scheduler) -> None:
         super().__init__()
         self._context = context
         self._rates = rates
         self._scheduler = scheduler
-        self.turns: Turns | None = None
+        self.slot_queue: SlotQueue | None = None
 
     def apply_policy(self, delta: PolicyDelta) -> bool:
-        """Take a delta or a full set of settings."""
+        """Apply a delta or a full set of settings; return whether it was applied."""
         before = set(self.organisation_by_id)
         if not super().apply_policy(delta):
             return False
@@ -36,38 +36,38 @@
         return True
 
     def apply_view(self, view: View) -> bool:
-        """Take a view of a later epoch."""
+        """Apply a view of a later epoch; return whether it was applied."""
         before = self.view
         if not super().apply_view(view):
             return False
         self._scheduler.apply_view(view)
-        self._keep_links(before)
+        self._update_links(before)
         self._rates.on_view(view)
-        if self.turns is not None:
-            self.turns.pump()
+        if self.slot_queue is not None:
+            self.slot_queue.assign_free_slots()
         return True
 
     def confirm(self, fresh: Fresh, sent_at: float) -> None:
-        """Take the reply to a heartbeat."""
+        """Handle the reply to a heartbeat."""
         super().confirm(fresh, sent_at)
-        # Only what extended the lease here may extend the right to grant tokens.
+        # The lease on granting tokens may be extended only with the freshness lease.
         if self._fresh_since is not None:
             self._rates.on_fresh(self._fresh_since)
 
-    def _keep_links(self, before: View) -> None:
-        """Dial new servers at once, so that their first call need not wait; drop those gone."""
+    def _update_links(self, before: View) -> None:
+        """Dial new servers now, so that their first call need not wait, and drop removed ones."""
         wanted = {server.address for server in self._scheduler.servers()}
         for address in wanted:
             eventlet.spawn_n(self._dial, address)
-        kept = wanted | {entry.address for entry in self.view.entries}
-        kept.update(self._context.control_addresses)
+        retained = wanted | {entry.address for entry in self.view.entries}
+        retained.update(self._context.control_addresses)
         members = [*before.servers, *before.entries]
-        for address in {member.address for member in members} - kept:
+        for address in {member.address for member in members} - retained:
             self._context.hub.forget(address)
 
     def _dial(self, address: str) -> None:
         try:
             self._context.hub.link_to(address)
         except LinkError:
-            # The hub goes on dialling; a report on the link tells when it is up.
+            # The hub keeps dialling; the first load report on the link shows that it is up.
             return
--- a/libs/entry/tarragonhall_entry/_messages.py
+++ b/libs/entry/tarragonhall_entry/_messages.py
@@ -1,4 +1,4 @@
-"""The messages, wishes and refusals that the flow of a call makes."""
+"""Builds the messages, slot requests and refusals of a call's flow."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 
 def next_attempt(call: Call, number: int, server: ServerRecord) -> AttemptId:
-    """Return the id of an attempt on this life of a server."""
+    """Return the id of an attempt on this incarnation of a server."""
     return AttemptId(call.program_id, call.spec.seq, number, server.server_id, server.incarnation)
 
 
 def make_dispatch(call: Call, opened: CallOpened, attempt: AttemptId) -> Dispatch:
-    """Return the dispatch of an attempt; the shell fills in the time that is left when it sends.
+    """Return the dispatch of an attempt; the dispatcher sets `deadline_ms` when it sends it.
 
-    The caller's key is no part of it: no backend server ever sees a key.
+    It does not contain the caller's key, so that no backend server ever receives one.
     """
     history = opened.history if call.spec.kind is CallKind.MODEL else []
     return Dispatch(
@@ -43,8 +43,8 @@
     )
 
 
-def turn_wish(call: Call, opened: CallOpened) -> tuple[bool, str | None, int, int]:
-    """Return the first fields of `WaitTurn`, from what the journal knows of the program."""
+def slot_request(call: Call, opened: CallOpened) -> tuple[bool, str | None, int, int]:
+    """Return the first four fields of `AcquireSlot`, from the program's state in the journal."""
     attained = sum(tokens_in(turn.answer) for turn in opened.history)
     history = 0
     if call.spec.kind is CallKind.MODEL:
@@ -53,16 +53,16 @@
     return call.spec.seq > 1, opened.prefix_server, history, attained
 
 
-def unknown(refusal: Refusal) -> Refusal:
+def with_unknown_execution(refusal: Refusal) -> Refusal:
     """Return a refusal that does not claim that the call did not run."""
     return replace(refusal, execution=Execution.UNKNOWN)
 
 
-def unavailable(reason: str) -> Refusal:
+def unavailable_refusal(reason: str) -> Refusal:
     """Return the refusal for a commit whose outcome is unknown."""
     return Refusal(
         RefusalCode.UNAVAILABLE,
-        f"the journal did not answer ({reason}); send the same seq again",
+        f"the journal did not reply ({reason}); retry with the same seq",
         Execution.UNKNOWN,
         UNAVAILABLE_RETRY_MS,
     )
--- a/libs/entry/tarragonhall_entry/_ends.py
+++ b/libs/entry/tarragonhall_entry/_program_cleanup.py
@@ -1,4 +1,4 @@
-"""What is done when a program has ended: its calls are stopped and its memory released."""
+"""Cleanup after the end of a program: stop its calls and release its memory on the engines."""
 
 from __future__ import annotations
 
@@ -17,37 +17,37 @@
 
 from tarragonhall_entry._dispatcher import Dispatcher
 from tarragonhall_entry._scheduler import Scheduler
-from tarragonhall_entry._turns import Turns
+from tarragonhall_entry._slot_queue import SlotQueue
 
-QUESTION_SECONDS = 2.0
+QUERY_TIMEOUT_SECONDS = 2.0
 
 
-class ProgramEnds:
-    """Carries the end of a program to where it matters, behind the caller's back.
+class ProgramCleanup:
+    """Stops a program's calls and releases its prefixes, in the background.
 
-    All of it only hurries what happens anyway: sidecars ask the journal which programs still live.
+    It may fail without harm: sidecars poll the journal for programs that have ended.
     """
 
-    __slots__ = ("_context", "_control", "_dispatcher", "_scheduler", "_turns")
+    __slots__ = ("_context", "_control", "_dispatcher", "_scheduler", "_slot_queue")
 
     def __init__(
         self,
         context: ProcessContext,
         control: ControlClient,
         scheduler: Scheduler,
-        turns: Turns,
+        slot_queue: SlotQueue,
         dispatcher: Dispatcher,
     ) -> None:
         self._context = context
         self._control = control
         self._scheduler = scheduler
-        self._turns = turns
+        self._slot_queue = slot_queue
         self._dispatcher = dispatcher
 
-    def on_ended(self, info: ProgramInfo) -> None:
-        """Refuse what waits here, stop what runs anywhere, release what engines hold."""
+    def on_program_ended(self, info: ProgramInfo) -> None:
+        """Refuse the program's queued calls, stop its running ones and release its prefixes."""
         refusal = Refusal(RefusalCode.PROGRAM_ENDED, "the program has ended")
-        self._turns.refuse(refusal, info.program_id)
+        self._slot_queue.refuse(refusal, info.program_id)
         if info.status is not ProgramStatus.FINISHED:
             eventlet.spawn_n(self._stop_running, info)
         eventlet.spawn_n(self._release, info.program_id)
@@ -56,7 +56,7 @@
         for seq in (info.next_seq, info.next_seq - 1):
             try:
                 state = self._control.ask(
-                    QueryCall(info.program_id, seq, info.org_id), QUESTION_SECONDS
+                    QueryCall(info.program_id, seq, info.org_id), QUERY_TIMEOUT_SECONDS
                 )
             except UnavailableError:
                 return
@@ -64,7 +64,7 @@
                 self._dispatcher.cancel(state.attempt)
 
     def _release(self, program_id: str) -> None:
-        for address in self._scheduler.holders(program_id):
+        for address in self._scheduler.forget_program(program_id):
             try:
                 self._context.hub.link_to(address).send(ReleaseProgram(program_id))
             except LinkError:
--- a/libs/entry/tarragonhall_entry/_requests.py
+++ b/libs/entry/tarragonhall_entry/_requests.py
@@ -1,4 +1,4 @@
-"""Bodies of callers' requests, checked with declared options: all findings at once."""
+"""Validates request bodies against declared options and reports all findings at once."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CallRequest:
-    """The body of `POST /v1/programs/ID/calls`, with nothing filled in yet."""
+    """The body of `POST /v1/programs/ID/calls`, before defaults that depend on its kind."""
 
     seq: int
     kind: CallKind
@@ -55,7 +55,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Bounded:
+class BoundedText:
     """A non-empty string of bounded length."""
 
     maximum: int = MAX_TEXT
@@ -76,16 +76,16 @@
 
 @dataclass(slots=True, frozen=True)
 class Payload:
-    """What a call carries: a prompt as text, or any JSON value for a service."""
+    """The body of a call: a prompt as text, or any JSON value for a service."""
 
     default: Any = Text().default
 
     def load(self, value: object, place: str) -> tuple[Any, list[Finding]]:
-        """Return the text that travels; an object keeps one spelling however it was sent."""
+        """Return the text to send; equal JSON objects give equal texts."""
         try:
             text = value if isinstance(value, str) else _canonical(value)
         except (ValueError, RecursionError):
-            return None, [Finding(place, "is no JSON value: too deep, or not a finite number")]
+            return None, [Finding(place, "is nested too deeply or contains a non-finite number")]
         findings = _check_text(text, MAX_BODY_CHARACTERS, place)
         return (None if findings else text), findings
 
@@ -104,22 +104,22 @@
     try:
         text.encode()
     except UnicodeEncodeError:
-        # Half of a surrogate pair: JSON can spell it, but no other process could read it.
-        return [Finding(place, "holds half of a surrogate pair")]
+        # JSON can express an unpaired surrogate, but it cannot be encoded for other processes.
+        return [Finding(place, "contains an unpaired surrogate")]
     return []
 
 
-def _check_open(made: OpenRequest, place: str) -> list[Finding]:
-    if len(made.labels) > MAX_LABELS:
+def _check_open(request: OpenRequest, place: str) -> list[Finding]:
+    if len(request.labels) > MAX_LABELS:
         return [Finding(f"{place}/labels", f"more than {MAX_LABELS} labels")]
     findings = []
-    for name in made.labels:
+    for name in request.labels:
         findings.extend(_check_text(name, MAX_TEXT, f"{place}/labels/{escape(name)}"))
     return findings
 
 
-def _check_call(made: CallRequest, place: str) -> list[Finding]:
-    if made.kind is CallKind.MODEL and not made.body:
+def _check_call(request: CallRequest, place: str) -> list[Finding]:
+    if request.kind is CallKind.MODEL and not request.body:
         return [Finding(f"{place}/body", "expected a non-empty prompt")]
     return []
 
@@ -127,9 +127,9 @@
 OPEN_OPTIONS = Group(
     OpenRequest,
     {
-        "model": Bounded(default=None),
-        "parent": Bounded(default=None),
-        "labels": MapOf(Bounded(), default={}),
+        "model": BoundedText(default=None),
+        "parent": BoundedText(default=None),
+        "labels": MapOf(BoundedText(), default={}),
     },
     check=_check_open,
 )
@@ -139,7 +139,7 @@
     {
         "seq": Whole(minimum=1, maximum=MAX_SEQ),
         "kind": Choice(("model", "service"), made=CallKind),
-        "target": Bounded(),
+        "target": BoundedText(),
         "body": Payload(),
         "repeatable": Flag(default=None),
         "max_tokens": Whole(default=None, maximum=MAX_TOKENS),
@@ -156,7 +156,7 @@
 
 
 def load_seq(request_body: dict) -> int | None:
-    """Return the number of the call that a body names, or None where it names none."""
+    """Return the `seq` of a call's body, or None where it has no valid one."""
     seq = request_body.get("seq")
     return seq if type(seq) is int and 0 < seq <= MAX_SEQ else None
 
@@ -172,10 +172,10 @@
 
 
 def load_call(value: dict, model_by_name: dict[str, ModelPolicy]) -> CallSpec:
-    """Check the body of a call; the models in force bound its `max_tokens`.
+    """Check the body of a call; `max_tokens` is limited by the target's model policy.
 
-    A service call is taken as not repeatable unless its caller says so: a wrong guess the other way
-    would charge somebody twice.
+    A service call is not repeatable unless its caller says so: repeating one that should not be
+    repeated could, for example, charge a customer twice.
     """
     request = _load(CALL_OPTIONS, value)
     is_model = request.kind is CallKind.MODEL
@@ -195,12 +195,14 @@
 
 
 def _model_tokens(request: CallRequest, model: ModelPolicy | None) -> int:
-    most = model.max_tokens if model is not None else MAX_TOKENS
+    max_tokens = model.max_tokens if model is not None else MAX_TOKENS
     if request.max_tokens is None:
-        return min(DEFAULT_MODEL_TOKENS, most)
-    if not 1 <= request.max_tokens <= most:
+        return min(DEFAULT_MODEL_TOKENS, max_tokens)
+    if not 1 <= request.max_tokens <= max_tokens:
         place = "/max_tokens"
-        raise InputError([Finding(place, f"expected a number from 1 to {most} for this model")])
+        raise InputError(
+            [Finding(place, f"expected a number from 1 to {max_tokens} for this model")]
+        )
     return request.max_tokens
 
 
--- a/libs/entry/tarragonhall_entry/_responses.py
+++ b/libs/entry/tarragonhall_entry/_responses.py
@@ -1,4 +1,4 @@
-"""How refusals, answers and programs look to callers."""
+"""The HTTP responses and JSON of refusals, answers and programs."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 )
 from tarragonhall_wire import HttpResponse, sse_event
 
-from tarragonhall_entry._access import RefusedError
+from tarragonhall_entry._authentication import RefusedError
 
 STATUS_BY_CODE = {
     RefusalCode.BAD_INPUT: 400,
@@ -39,7 +39,7 @@
 }
 
 
-def refusal_value(refusal: Refusal, findings: list[Finding] | None = None) -> dict:
+def refusal_json(refusal: Refusal, findings: list[Finding] | None = None) -> dict:
     """Return a refusal as JSON."""
     value = {
         "error": refusal.code.value,
@@ -58,12 +58,12 @@
     if refusal.retry_after_ms is not None:
         headers["Retry-After"] = str(math.ceil(refusal.retry_after_ms / 1000))
     return HttpResponse(
-        STATUS_BY_CODE[refusal.code], refusal_value(refusal, findings), headers=headers
+        STATUS_BY_CODE[refusal.code], refusal_json(refusal, findings), headers=headers
     )
 
 
 def error_response(error: Exception) -> HttpResponse | None:
-    """Return the response for an error raised on purpose, or None for any other."""
+    """Return the response for an `InputError` or `RefusedError`, or None for any other error."""
     match error:
         case InputError(findings=findings):
             refusal = Refusal(RefusalCode.BAD_INPUT, "the request is malformed")
@@ -73,7 +73,7 @@
     return None
 
 
-def answer_value(answer: Answer) -> dict:
+def answer_json(answer: Answer) -> dict:
     """Return an answer as JSON."""
     return {
         "text": answer.text,
@@ -86,26 +86,26 @@
     }
 
 
-def call_value(program_id: str, seq: int, answer: Answer) -> dict:
+def call_json(program_id: str, seq: int, answer: Answer) -> dict:
     """Return an answered call as JSON."""
-    return {"program_id": program_id, "seq": seq, "answer": answer_value(answer)}
+    return {"program_id": program_id, "seq": seq, "answer": answer_json(answer)}
 
 
 def closed_response(program_id: str, seq: int, closed: CallClosed) -> HttpResponse:
-    """Return the whole response for a call that has ended."""
+    """Return the non-streamed response for a call that has ended."""
     if closed.answer is not None:
-        return HttpResponse(200, call_value(program_id, seq, closed.answer))
+        return HttpResponse(200, call_json(program_id, seq, closed.answer))
     return refusal_response(closed.refusal)
 
 
 def terminal_event(program_id: str, seq: int, closed: CallClosed) -> bytes:
-    """Return the one event that ends a stream."""
+    """Return the event that ends a stream."""
     if closed.answer is not None:
-        return sse_event("answer", call_value(program_id, seq, closed.answer))
-    return sse_event("refusal", refusal_value(closed.refusal))
+        return sse_event("answer", call_json(program_id, seq, closed.answer))
+    return sse_event("refusal", refusal_json(closed.refusal))
 
 
-def info_value(info: ProgramInfo) -> dict:
+def program_json(info: ProgramInfo) -> dict:
     """Return a program as JSON."""
     budget, spent = info.budget, info.spent
     return {
@@ -126,15 +126,15 @@
     }
 
 
-def report_value(report: ProgramReport) -> dict:
+def report_json(report: ProgramReport) -> dict:
     """Return a program with its closed calls as JSON."""
-    return info_value(report.info) | {"calls": [_summary_value(call) for call in report.calls]}
+    return program_json(report.info) | {"calls": [_summary_json(call) for call in report.calls]}
 
 
-def _summary_value(call: CallSummary) -> dict:
+def _summary_json(call: CallSummary) -> dict:
     value = {"seq": call.seq, "kind": call.kind.value, "target": call.target, "body": call.body}
     if call.answer is not None:
-        value["answer"] = answer_value(call.answer)
+        value["answer"] = answer_json(call.answer)
     if call.refusal is not None:
-        value["refusal"] = refusal_value(call.refusal)
+        value["refusal"] = refusal_json(call.refusal)
     return value
--- a/libs/entry/tarragonhall_entry/_runner.py
+++ b/libs/entry/tarragonhall_entry/_runner.py
@@ -1,4 +1,4 @@
-"""The eventlet shell of the calls: runs each flow in a green thread and does what it asks."""
+"""Runs the flow of each call in a green thread and performs the effects that it yields."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 from tarragonhall_state import Follower
 from tarragonhall_wire import ControlClient, ProcessContext, UnavailableError
 
-from tarragonhall_entry._access import Access
+from tarragonhall_entry._authentication import Authenticator
 from tarragonhall_entry._dispatcher import Dispatcher
 from tarragonhall_entry._effects import (
     Acknowledge,
-    AskControl,
+    AcquireSlot,
     AwaitEnd,
     AwaitPredecessor,
     Call,
@@ -36,62 +36,62 @@
     CheckQuarantine,
     Commit,
     DecideRetry,
-    EndPlace,
     EntryInView,
     FindServer,
-    Note,
     Pause,
+    QueryControl,
     Reattach,
-    Restart,
+    RecordEvent,
+    ReleaseSlot,
+    ResetStream,
     SendDispatch,
     TakeToken,
-    TryTurn,
+    TryAcquireSlot,
     Unavailable,
-    WaitTurn,
 )
 from tarragonhall_entry._flow import call_flow
 from tarragonhall_entry._running import RunningCall
 from tarragonhall_entry._scheduler import Scheduler
-from tarragonhall_entry._turns import Turns
+from tarragonhall_entry._slot_queue import SlotQueue
 
 log = structlog.get_logger(__name__)
 
-# An election takes about a second; a commit that is still unknown after several is given up.
-COMMIT_SECONDS = 6.0
-QUESTION_SECONDS = 1.0
-# Each refusal that has to be proved costs control a question. A tenant far above its rate must not
-# drown it in them, so that many are asked at once and others wait their turn: told `unknown` at
-# once, as the 33rd caller at the same moment was, a caller cannot tell whether to come back.
-QUESTIONS_AT_ONCE = 32
-# Whoever has no valid key may cost control less than those who have one, and takes no question from
-# them: each of these takes a round trip of milliseconds, so that four serve hundreds a second.
-UNAUTHENTICATED_QUESTIONS_AT_ONCE = 4
-# The commit of a crash report takes a few milliseconds; an election in between about a second.
-QUARANTINE_TRIES = 4
+# An election takes about a second; after several seconds the outcome of a commit is unknown.
+COMMIT_TIMEOUT_SECONDS = 6.0
+QUERY_TIMEOUT_SECONDS = 1.0
+# A refusal as `not_run` costs control one query. The limit protects control from an organisation
+# far above its rate; further refusals wait. When the 33rd concurrent one got `unknown` at once
+# instead, its caller could not tell whether to send the call again.
+MAX_CONCURRENT_QUERIES = 32
+# A separate, lower limit, so that requests without a valid key cannot use up the queries of
+# authenticated ones. A query takes a round trip of milliseconds: 4 serve hundreds per second.
+MAX_UNAUTHENTICATED_QUERIES = 4
+# The commit of a crash report takes a few milliseconds, or about a second during an election.
+MAX_QUARANTINE_QUERIES = 4
 QUARANTINE_PAUSE_SECONDS = 0.1
-# An early call usually waits for the commit of the one before it, milliseconds away. One that was
-# sent far out of order is told so after about five seconds; each look costs a commit.
-EARLY_SECONDS = 30.0
-EARLY_PAUSE_SECONDS = 0.01
+# An early call usually waits a few milliseconds for the commit of its predecessor. A call sent far
+# out of order is refused after about 5 seconds; each try costs a commit.
+MAX_PREDECESSOR_WAIT_SECONDS = 30.0
+EARLY_MIN_PAUSE_SECONDS = 0.01
 EARLY_MAX_PAUSE_SECONDS = 0.4
-EARLY_TRIES = 16
+MAX_EARLY_TRIES = 16
 
 
 class CallRunner:
-    """All calls under way in this entry."""
+    """Runs the calls of this entry."""
 
     __slots__ = (
-        "_access",
+        "_authenticator",
         "_context",
         "_control",
         "_dispatcher",
         "_follower",
-        "_questions",
+        "_query_semaphore",
         "_rates",
         "_scheduler",
-        "_turns",
-        "_unauthenticated_questions",
-        "running_by_name",
+        "_slot_queue",
+        "_unauthenticated_queries",
+        "running_by_key",
     )
 
     def __init__(
@@ -99,34 +99,34 @@
         context: ProcessContext,
         control: ControlClient,
         follower: Follower,
-        access: Access,
+        authenticator: Authenticator,
         rates: Rates,
         scheduler: Scheduler,
-        turns: Turns,
+        slot_queue: SlotQueue,
         dispatcher: Dispatcher,
     ) -> None:
         self._context = context
         self._control = control
         self._follower = follower
-        self._access = access
+        self._authenticator = authenticator
         self._rates = rates
         self._scheduler = scheduler
-        self._turns = turns
-        self._questions = Semaphore(QUESTIONS_AT_ONCE)
-        self._unauthenticated_questions = 0
+        self._slot_queue = slot_queue
+        self._query_semaphore = Semaphore(MAX_CONCURRENT_QUERIES)
+        self._unauthenticated_queries = 0
         self._dispatcher = dispatcher
-        self.running_by_name: dict[tuple[str, int], RunningCall] = {}
+        self.running_by_key: dict[tuple[str, int], RunningCall] = {}
 
     def start(self, call: Call) -> RunningCall:
-        """Run a call in a green thread of its own, or join it where it already runs here."""
-        running = self.running_by_name.get(call.name)
+        """Run a call in its own green thread, or join it where it already runs here."""
+        running = self.running_by_key.get(call.key)
         if running is not None and is_resend(running.call, call):
-            # The key of the resend was checked just now. The first one may be withdrawn meanwhile,
-            # which must not refuse whoever asks with another.
+            # The key of the resend was just checked. Withdrawing the first key must not end a call
+            # that was sent again with a valid one.
             running.call.key_hash = call.key_hash
             return running
         running = RunningCall(call)
-        self.running_by_name.setdefault(call.name, running)
+        self.running_by_key.setdefault(call.key, running)
         eventlet.spawn_n(self._run, running)
         return running
 
@@ -139,11 +139,11 @@
             log.exception("call.failed", program_id=call.program_id, seq=call.spec.seq)
             refusal = Refusal(RefusalCode.UNAVAILABLE, "internal error", Execution.UNKNOWN)
             closed = CallClosed(refusal=refusal)
-            # A place that a broken flow left behind would be lost for good.
-            self._turns.end(call, EndPlace(used=False))
+            # A slot that the failed flow still held would never be released.
+            self._slot_queue.release(call, ReleaseSlot(used=False))
         self._dispatcher.forget_call(running)
-        if self.running_by_name.get(call.name) is running:
-            del self.running_by_name[call.name]
+        if self.running_by_key.get(call.key) is running:
+            del self.running_by_key[call.key]
         elapsed_ms = (self._context.monotonic() - started) * 1000
         self._context.metrics.timing("entry.call_ms", elapsed_ms)
         outcome = "answered" if closed.answer is not None else closed.refusal.code.value
@@ -165,20 +165,20 @@
         match effect:
             case Commit(body=body):
                 return self._commit(body)
-            case AskControl(question=question):
-                return self._ask(question)
+            case QueryControl(query=query):
+                return self._query(query)
             case TakeToken():
                 deadline = Deadline(call.deadline)
-                under_way = call.spec.seq > 1
-                return self._rates.take(call.org_id, call.call_id, deadline, under_way)
+                in_progress = call.spec.seq > 1
+                return self._rates.take(call.org_id, call.call_id, deadline, in_progress)
             case CheckKey():
                 return self._check_key(call)
-            case WaitTurn():
-                return self._turns.wait(call, effect)
-            case EndPlace():
-                return self._turns.end(call, effect)
-            case TryTurn(started=started):
-                return self._turns.try_now(call, started)
+            case AcquireSlot():
+                return self._slot_queue.acquire(call, effect)
+            case ReleaseSlot():
+                return self._slot_queue.release(call, effect)
+            case TryAcquireSlot(started=started):
+                return self._slot_queue.try_acquire(call, started)
             case SendDispatch(server=server, message=message):
                 return self._dispatcher.dispatch(running, server, message)
             case AwaitEnd(attempt=attempt):
@@ -199,16 +199,16 @@
                 return self._check_quarantine(call)
             case AwaitPredecessor(tries=tries):
                 return self._await_predecessor(call, tries)
-            case Restart():
+            case ResetStream():
                 return running.reset()
-            case Note(kind=kind, fields=fields):
+            case RecordEvent(kind=kind, fields=fields):
                 return self._context.timeline.add(kind, call.program_id, **fields)
         raise TypeError(f"unknown effect {type(effect).__name__}")
 
     def _commit(self, body: object) -> object:
         started = self._context.monotonic()
         try:
-            return self._control.propose(body, COMMIT_SECONDS)
+            return self._control.propose(body, COMMIT_TIMEOUT_SECONDS)
         except UnavailableError as error:
             self._context.metrics.count("entry.commit_unavailable")
             return Unavailable(str(error))
@@ -216,56 +216,58 @@
             elapsed_ms = (self._context.monotonic() - started) * 1000
             self._context.metrics.timing("entry.commit_ms", elapsed_ms)
 
-    def _ask(self, question: object) -> object:
-        if not self._questions.acquire(timeout=QUESTION_SECONDS):
-            return Unavailable("too many questions at once")
+    def _query(self, query: object) -> object:
+        if not self._query_semaphore.acquire(timeout=QUERY_TIMEOUT_SECONDS):
+            return Unavailable("too many concurrent queries")
         try:
-            return self._control.ask(question, QUESTION_SECONDS)
+            return self._control.ask(query, QUERY_TIMEOUT_SECONDS)
         except UnavailableError as error:
             return Unavailable(str(error))
         finally:
-            self._questions.release()
+            self._query_semaphore.release()
 
-    def ask_execution(self, program_id: str, seq: int) -> Execution:
-        """Return what may be told of a call to a caller without a valid key."""
-        if (program_id, seq) in self.running_by_name:
+    def query_execution(self, program_id: str, seq: int) -> Execution:
+        """Return the execution state of a call for a refusal to a caller without a valid key."""
+        if (program_id, seq) in self.running_by_key:
             return Execution.UNKNOWN
-        if self._unauthenticated_questions >= UNAUTHENTICATED_QUESTIONS_AT_ONCE:
+        if self._unauthenticated_queries >= MAX_UNAUTHENTICATED_QUERIES:
             return Execution.UNKNOWN
-        self._unauthenticated_questions += 1
+        self._unauthenticated_queries += 1
         try:
-            reply = self._control.ask(QueryExecution(program_id, seq), QUESTION_SECONDS)
+            reply = self._control.ask(QueryExecution(program_id, seq), QUERY_TIMEOUT_SECONDS)
         except UnavailableError:
             return Execution.UNKNOWN
         finally:
-            self._unauthenticated_questions -= 1
+            self._unauthenticated_queries -= 1
         return reply.execution if isinstance(reply, ExecutionKnown) else Execution.UNKNOWN
 
     def _check_key(self, call: Call) -> Refusal | None:
         now = self._context.monotonic()
-        return self._access.check(call.key_hash, now, self._context.wall_ms())
+        return self._authenticator.check(call.key_hash, now, self._context.wall_ms())
 
     def _check_quarantine(self, call: Call) -> Refusal | None:
-        """Ask for the crashes of a request that was on a server which crashed.
+        """Query the crash count of a request that was on a server when it crashed.
 
-        The sidecar's report is under way to the journal at the same time, so a count of none is
-        asked for again.
+        The sidecar's crash report may still be in flight to the journal, so a count of 0 is queried
+        again.
         """
-        mark = fingerprint(call.org_id, call.spec.target, call.spec.body)
-        for _ in range(QUARANTINE_TRIES):
-            reply = self._ask(QueryQuarantine(mark))
+        request_fingerprint = fingerprint(call.org_id, call.spec.target, call.spec.body)
+        for _ in range(MAX_QUARANTINE_QUERIES):
+            reply = self._query(QueryQuarantine(request_fingerprint))
             if isinstance(reply, Quarantined) and reply.crashes:
-                return self._quarantine(call, mark, reply)
+                return self._quarantine(call, request_fingerprint, reply)
             eventlet.sleep(QUARANTINE_PAUSE_SECONDS)
         return None
 
-    def _quarantine(self, call: Call, mark: str, known: Quarantined) -> Refusal | None:
+    def _quarantine(
+        self, call: Call, request_fingerprint: str, known: Quarantined
+    ) -> Refusal | None:
         now = self._context.monotonic()
-        self._scheduler.quarantine.learn(mark, known.crashes, now)
+        self._scheduler.quarantine.learn(request_fingerprint, known.crashes, now)
         if not known.quarantined:
             return None
         self._context.metrics.count("entry.quarantined")
-        return self._scheduler.quarantine.refusal(mark, now) or Refusal(
+        return self._scheduler.quarantine.refusal(request_fingerprint, now) or Refusal(
             RefusalCode.QUARANTINED, "the request crashed the backend servers that ran it"
         )
 
@@ -283,13 +285,13 @@
         )
 
     def _await_predecessor(self, call: Call, tries: int) -> bool:
-        """Wait for the call before, without a commit for each look while it runs here."""
-        running = self.running_by_name.get((call.program_id, call.spec.seq - 1))
+        """Wait for the previous call: for its end where it runs here, else for a backoff pause."""
+        running = self.running_by_key.get((call.program_id, call.spec.seq - 1))
         if running is not None:
-            left = min(EARLY_SECONDS, call.deadline - self._context.monotonic())
+            left = min(MAX_PREDECESSOR_WAIT_SECONDS, call.deadline - self._context.monotonic())
             return running.wait(left) is not None
-        pause = min(EARLY_MAX_PAUSE_SECONDS, EARLY_PAUSE_SECONDS * 2 ** min(tries, 10))
-        return tries < EARLY_TRIES and self._pause(call, pause)
+        pause = min(EARLY_MAX_PAUSE_SECONDS, EARLY_MIN_PAUSE_SECONDS * 2 ** min(tries, 10))
+        return tries < MAX_EARLY_TRIES and self._pause(call, pause)
 
     def _pause(self, call: Call, seconds: float) -> bool:
         left = call.deadline - self._context.monotonic()
@@ -300,11 +302,11 @@
 
 
 def is_resend(first: Call, second: Call) -> bool:
-    """Return whether two requests ask for the same call; they may differ in how they wait."""
+    """Return whether two requests are for the same call; timeout and streaming may differ."""
     if first.org_id != second.org_id:
         return False
-    return _essence(first.spec) == _essence(second.spec)
+    return _identity(first.spec) == _identity(second.spec)
 
 
-def _essence(spec: CallSpec) -> CallSpec:
+def _identity(spec: CallSpec) -> CallSpec:
     return dataclasses.replace(spec, timeout_ms=0, stream=False)
--- a/libs/entry/tarragonhall_entry/_running.py
+++ b/libs/entry/tarragonhall_entry/_running.py
@@ -1,4 +1,4 @@
-"""A call under way in this entry, and those who listen to it."""
+"""A call that runs in this entry, and its listeners."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True, frozen=True)
 class TextPart:
-    """The next part of a streamed answer."""
+    """The next chunk of a streamed answer."""
 
     index: int
     text: str
@@ -22,12 +22,12 @@
 
 @dataclass(slots=True, frozen=True)
 class StreamReset:
-    """The parts so far are void; the answer begins anew."""
+    """The chunks so far are discarded; the answer starts again."""
 
 
 @dataclass(slots=True)
 class RunningCall:
-    """One call that this entry runs; its end outlives the connection of whoever asked for it."""
+    """A call that this entry runs, independently of the connections of its callers."""
 
     call: Call
     end: Event = field(default_factory=Event)
@@ -36,14 +36,14 @@
     attempts: list[AttemptId] = field(default_factory=list)
 
     def add_text(self, text: str) -> None:
-        """Pass a part on to every listener."""
+        """Send a chunk to every listener."""
         part = TextPart(len(self.parts), text)
         self.parts.append(text)
         for listener in self.listeners:
             listener.put(part)
 
     def reset(self) -> None:
-        """Void the parts so far."""
+        """Discard the chunks so far and notify the listeners."""
         if not self.parts:
             return
         self.parts = []
@@ -51,19 +51,19 @@
             listener.put(StreamReset())
 
     def close(self, closed: CallClosed) -> None:
-        """Tell every listener the end."""
+        """Send the end to every listener."""
         self.end.send(closed)
         for listener in self.listeners:
             listener.put(closed)
 
     def wait(self, timeout_s: float) -> CallClosed | None:
-        """Return the end, or None when it does not come in time."""
+        """Return the end, or None after `timeout_s`."""
         with eventlet.Timeout(max(0.0, timeout_s), False):
             return self.end.wait()
         return None
 
     def listen(self) -> LightQueue:
-        """Return a queue of all parts from the first on, and then the end."""
+        """Return a queue that gets all chunks from the first on, and then the end."""
         queue = LightQueue()
         for index, text in enumerate(self.parts):
             queue.put(TextPart(index, text))
@@ -74,7 +74,7 @@
 
 
 def next_item(queue: LightQueue, timeout_s: float) -> object | None:
-    """Return the next item of a listener's queue, or None when none comes in time."""
+    """Return the next item of a listener's queue, or None after `timeout_s`."""
     try:
         return queue.get(timeout=max(0.0, timeout_s))
     except Empty:
--- a/libs/entry/tarragonhall_entry/_scheduler.py
+++ b/libs/entry/tarragonhall_entry/_scheduler.py
@@ -1,7 +1,7 @@
-"""Which waiting call goes to which server next. No I/O: the decisions are those of `decisions`.
+"""Assigns waiting calls to servers, using the algorithms of `decisions`. No I/O.
 
-Each target has a fair queue of its own; all share one router. Whatever frees a place or changes a
-queue is followed by `step`, whose results the shell hands to the green threads that wait.
+Each target has its own fair queue; all share one router. Call `step` after every change that frees
+a slot or changes a queue; `_slot_queue` passes its results to the waiting green threads.
 """
 
 from __future__ import annotations
@@ -31,45 +31,46 @@
     fingerprint,
 )
 
-from tarragonhall_entry._effects import Assigned, Call, WaitTurn
+from tarragonhall_entry._effects import AcquireSlot, Call, SlotAssigned
 
-# A restarted server is announced again within about two seconds; a caller who waits that long is
-# better off than one who is told to come back.
-NO_SERVER_SECONDS = 4.0
-# Of its time, what a call may wait so. Refused in its last moments, it ends before the journal has
-# confirmed that nobody will start it, and its caller is told `unknown` of work that never began.
-NO_SERVER_SHARE = 0.5
+# A restarted server is back in the view within about 2 seconds, so waiting for it is better for the
+# caller than a refusal.
+MAX_NO_SERVER_WAIT_SECONDS = 4.0
+# Share of its timeout that a call may wait for a server. If it were refused just before its
+# deadline, it would end before the journal confirms that nobody will start it, and its caller would
+# get `unknown` for a call that never ran.
+MAX_NO_SERVER_WAIT_SHARE = 0.5
 NO_SERVER_RETRY_MS = 2_000
-# The head of the queue may need a server that has no room while the calls behind it need another.
+# The call at the head may need a server without a free slot while calls behind it need another one.
 LOOK_AHEAD = 4
 CHARACTERS_PER_TOKEN = 4
 
 
 @dataclass(slots=True)
-class Waiting:
-    """A call that waits for a place, or holds one."""
+class ScheduledCall:
+    """A call that waits for a slot, or holds one."""
 
     call: Call
-    wish: WaitTurn
+    request: AcquireSlot
     queued: QueuedCall
     fingerprint: str
-    since: float
+    queued_at: float
     server: ServerRecord | None = None
-    placed_at: float = 0.0
+    assigned_at: float = 0.0
     need: Need | None = None
 
 
 @dataclass(slots=True, frozen=True)
-class Outcome:
-    """The wait of a call is over."""
+class WaitOutcome:
+    """The result of a call's wait for a slot."""
 
-    waiting: Waiting
-    result: Assigned | Refusal
+    scheduled: ScheduledCall
+    result: SlotAssigned | Refusal
 
 
 @dataclass(slots=True)
 class Scheduler:
-    """The waiting calls and the servers they may go to."""
+    """The waiting calls of this entry and the servers that it uses."""
 
     entry_id: str
     availability_zone: str
@@ -79,128 +80,135 @@
     run_times: RunTimes = field(default_factory=RunTimes)
     quarantine: Quarantine = field(default_factory=Quarantine)
     _servers: list[ServerRecord] = field(default_factory=list)
-    _held_by_id: dict[str, tuple[str, ...]] = field(default_factory=dict)
+    _programs_by_server: dict[str, tuple[str, ...]] = field(default_factory=dict)
     _queue_by_target: dict[str, FairQueue] = field(default_factory=dict)
     _budget_by_target: dict[str, RetryBudget] = field(default_factory=dict)
-    _waiting_by_id: dict[str, Waiting] = field(default_factory=dict)
-    _placed_by_id: dict[str, Waiting] = field(default_factory=dict)
+    _waiting_by_id: dict[str, ScheduledCall] = field(default_factory=dict)
+    _assigned_by_id: dict[str, ScheduledCall] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         self.router = Router(self.availability_zone, self.rng)
 
     def apply_view(self, view: View) -> None:
-        """Take over this entry's share of the servers of a view."""
+        """Apply this entry's subset of the servers of a view."""
         entry_ids = [entry.entry_id for entry in view.entries]
         self._servers = subset(self.entry_id, entry_ids, view.servers)
         self.router.on_view(self._servers)
         ids = {server.server_id for server in self._servers}
-        self._held_by_id = {one: held for one, held in self._held_by_id.items() if one in ids}
+        self._programs_by_server = {
+            server_id: programs
+            for server_id, programs in self._programs_by_server.items()
+            if server_id in ids
+        }
 
     def servers(self) -> list[ServerRecord]:
-        """Return the servers that this entry links to."""
+        """Return the servers that this entry uses."""
         return list(self._servers)
 
-    def holders(self, program_id: str) -> list[str]:
-        """Return the addresses of the servers that may hold an ended program's prefix."""
+    def forget_program(self, program_id: str) -> list[str]:
+        """Forget an ended program; return the addresses of servers that may hold its prefix."""
         last = self.router.forget_program(program_id)
         return [
             server.address
             for server in self._servers
-            if server.server_id == last or program_id in self._held_by_id.get(server.server_id, ())
+            if server.server_id == last
+            or program_id in self._programs_by_server.get(server.server_id, ())
         ]
 
-    def report(self, report: LoadReport) -> None:
-        """Take a load report; it came on a link, so the link is up."""
+    def on_load_report(self, report: LoadReport) -> None:
+        """Handle a load report, which also shows that the link to its server is up."""
         self.router.on_link(report.server_id, True)
         self.router.on_load_report(report)
-        self._held_by_id[report.server_id] = report.held_programs
+        self._programs_by_server[report.server_id] = report.held_programs
 
-    def link_down(self, address: str) -> None:
-        """Note that the link to the sidecars at an address is down."""
+    def on_link_down(self, address: str) -> None:
+        """Mark the servers at an address as not linked."""
         for server in self._servers:
             if server.address == address:
                 self.router.on_link(server.server_id, False)
 
-    def waiting(self) -> list[Waiting]:
-        """Return the calls that wait."""
+    def waiting(self) -> list[ScheduledCall]:
+        """Return the waiting calls."""
         return list(self._waiting_by_id.values())
 
-    def waits(self, now: float) -> dict[str, float]:
-        """Return for how many seconds the oldest waiting call of each model has waited."""
+    def longest_waits(self, now: float) -> dict[str, float]:
+        """Return how long the oldest waiting call of each model has waited, in seconds."""
         longest: dict[str, float] = {}
         for waiting in self._waiting_by_id.values():
             spec = waiting.call.spec
             if spec.kind is CallKind.MODEL:
-                longest[spec.target] = max(longest.get(spec.target, 0.0), now - waiting.since)
+                longest[spec.target] = max(longest.get(spec.target, 0.0), now - waiting.queued_at)
         return longest
 
     def retry_budget(self, target: str) -> RetryBudget:
         """Return the retry budget of a target."""
         return self._budget_by_target.setdefault(target, RetryBudget())
 
-    def offer(self, call: Call, wish: WaitTurn, weight: float, now: float) -> list[Outcome]:
-        """Let a call wait; return those that are refused for it, which may include itself."""
-        waiting = self._waiting(call, wish, now)
+    def offer(
+        self, call: Call, request: AcquireSlot, weight: float, now: float
+    ) -> list[WaitOutcome]:
+        """Queue a call; return the calls that the queue drops for it, possibly this one."""
+        waiting = self._schedule(call, request, now)
         queue = self._queue(call.spec.target)
         queue.set_weight(call.org_id, weight)
         self._waiting_by_id[waiting.queued.call_id] = waiting
         return [self._dropped(dropped) for dropped in queue.offer(waiting.queued, now)]
 
-    def remove(self, call: Call) -> Waiting | None:
-        """Take a call out of the queue."""
+    def remove(self, call: Call) -> ScheduledCall | None:
+        """Remove a waiting call from its queue; return it, or None where it did not wait."""
         waiting = self._waiting_by_id.pop(call.call_id, None)
         if waiting is not None:
             self._queue(call.spec.target).remove(call.call_id, call.org_id)
         return waiting
 
-    def step(self, now: float) -> list[Outcome]:
-        """Give free places to waiting calls, and refuse those whose time is over."""
+    def step(self, now: float) -> list[WaitOutcome]:
+        """Assign free slots to waiting calls, and refuse the calls that have expired."""
         outcomes = []
         for target, queue in self._queue_by_target.items():
             if not len(queue):
                 continue
             outcomes.extend(self._dropped(dropped) for dropped in queue.expire(now))
-            outcomes.extend(self._place(target, queue, now))
+            outcomes.extend(self._assign_slots(target, queue, now))
         return outcomes
 
-    def unserved(self, now: float) -> list[Waiting]:
-        """Return the calls that have waited too long for any server of their target."""
+    def unserved(self, now: float) -> list[ScheduledCall]:
+        """Return the calls that waited too long for a target that no server serves."""
         return [
             waiting
             for waiting in self._waiting_by_id.values()
-            if now - waiting.since > _longest_without_server(waiting.queued)
+            if now - waiting.queued_at > _max_wait_without_server(waiting.queued)
             and not self.router.serves(waiting.call.spec.target)
         ]
 
-    def unused(self, call: Call) -> None:
-        """Give back the place of a call that was not sent there; nothing is learnt from it."""
-        placed = self._placed_by_id.pop(call.call_id, None)
-        if placed is None:
+    def release_unused(self, call: Call) -> None:
+        """Release a slot to which nothing was sent, without updating any statistics."""
+        assigned = self._assigned_by_id.pop(call.call_id, None)
+        if assigned is None:
             return
-        self.router.on_unused(placed.server.server_id, call.call_id)
-        self.quarantine.on_end(placed.fingerprint, placed.server.server_id, False)
-        self._queue(call.spec.target).on_end(placed.queued, 0.0)
-
-    def end(self, call: Call, answered: bool, tokens: int, now: float) -> None:
-        """Give the place of a call back and learn from how it went."""
-        placed = self._placed_by_id.pop(call.call_id, None)
-        if placed is None:
+        self.router.on_unused(assigned.server.server_id, call.call_id)
+        self.quarantine.on_end(assigned.fingerprint, assigned.server.server_id, False)
+        self._queue(call.spec.target).on_end(assigned.queued, 0.0)
+
+    def release(self, call: Call, answered: bool, tokens: int, now: float) -> None:
+        """Release the slot of a call and record how the call went."""
+        assigned = self._assigned_by_id.pop(call.call_id, None)
+        if assigned is None:
             return
         units = float(max(1, tokens))
-        server_id = placed.server.server_id
+        server_id = assigned.server.server_id
         self.router.on_end(server_id, call.call_id, units, answered, now)
-        self.quarantine.on_end(placed.fingerprint, server_id, answered)
+        self.quarantine.on_end(assigned.fingerprint, server_id, answered)
         cost = units if answered else 0.0
-        self._queue(call.spec.target).on_end(placed.queued, cost)
+        self._queue(call.spec.target).on_end(assigned.queued, cost)
         if answered:
-            self.run_times.on_end(call.spec.target, now - placed.placed_at, tokens)
+            self.run_times.on_end(call.spec.target, now - assigned.assigned_at, tokens)
             self.retry_budget(call.spec.target).on_success()
 
-    def _place(self, target: str, queue: FairQueue, now: float) -> list[Outcome]:
-        placed: list[Outcome] = []
-        passed_over: list[QueuedCall] = []
+    def _assign_slots(self, target: str, queue: FairQueue, now: float) -> list[WaitOutcome]:
+        assigned: list[WaitOutcome] = []
+        skipped: list[QueuedCall] = []
         limit = LOOK_AHEAD if self.router.has_room(target) else 1
-        while len(passed_over) < limit:
+        while len(skipped) < limit:
             queued = queue.take(now)
             if queued is None:
                 break
@@ -208,25 +216,27 @@
             need = self._need(waiting, now)
             choice = self.router.choose(need, now)
             if choice is None:
-                passed_over.append(queued)
+                skipped.append(queued)
                 continue
-            placed.append(self._hold(waiting, need, choice.server, now))
-        for queued in passed_over:
+            assigned.append(self._assign(waiting, need, choice.server, now))
+        for queued in skipped:
             queue.give_back(queued)
-        return placed
+        return assigned
 
-    def _hold(self, waiting: Waiting, need: Need, server: ServerRecord, now: float) -> Outcome:
+    def _assign(
+        self, waiting: ScheduledCall, need: Need, server: ServerRecord, now: float
+    ) -> WaitOutcome:
         call_id = waiting.queued.call_id
         del self._waiting_by_id[call_id]
         waiting.server = server
         waiting.need = need
-        waiting.placed_at = now
-        self._placed_by_id[call_id] = waiting
+        waiting.assigned_at = now
+        self._assigned_by_id[call_id] = waiting
         self.router.on_start(server.server_id, call_id, need, now)
         self.quarantine.on_start(waiting.fingerprint, server.server_id)
-        return Outcome(waiting, Assigned(server))
+        return WaitOutcome(waiting, SlotAssigned(server))
 
-    def _waiting(self, call: Call, wish: WaitTurn, now: float) -> Waiting:
+    def _schedule(self, call: Call, request: AcquireSlot, now: float) -> ScheduledCall:
         spec = call.spec
         cost = 1.0
         if spec.kind is CallKind.MODEL:
@@ -238,30 +248,30 @@
             cost=cost,
             deadline=Deadline(call.deadline),
             run_s=self.run_times.expected_s(spec.target),
-            attained=wish.attained_tokens,
-            started=wish.started,
+            attained=request.attained_tokens,
+            started=request.started,
         )
-        mark = fingerprint(call.org_id, spec.target, spec.body)
-        return Waiting(call, wish, queued, mark, now)
+        request_fingerprint = fingerprint(call.org_id, spec.target, spec.body)
+        return ScheduledCall(call, request, queued, request_fingerprint, now)
 
-    def _need(self, waiting: Waiting, now: float) -> Need:
-        call, wish = waiting.call, waiting.wish
-        # A server that failed the call is avoided only while there is another.
+    def _need(self, waiting: ScheduledCall, now: float) -> Need:
+        call, request = waiting.call, waiting.request
+        # Servers on which the call failed are avoided only while the target has another one.
         others = {s.server_id for s in self._servers if call.spec.target in s.serves}
-        avoid = wish.excluded if others - wish.excluded else frozenset()
+        avoid = request.excluded if others - request.excluded else frozenset()
         return Need(
             target=call.spec.target,
             program_id=call.program_id,
-            prompt_tokens=wish.history_tokens,
+            prompt_tokens=request.history_tokens,
             units=waiting.queued.cost,
-            started=wish.started,
-            prefix_server=wish.prefix_server,
+            started=request.started,
+            prefix_server=request.prefix_server,
             avoid=avoid | self.quarantine.servers_to_avoid(waiting.fingerprint, now),
         )
 
-    def _dropped(self, dropped: Dropped) -> Outcome:
+    def _dropped(self, dropped: Dropped) -> WaitOutcome:
         waiting = self._waiting_by_id.pop(dropped.call.call_id)
-        return Outcome(waiting, dropped.refusal)
+        return WaitOutcome(waiting, dropped.refusal)
 
     def _queue(self, target: str) -> FairQueue:
         queue = self._queue_by_target.get(target)
@@ -271,18 +281,18 @@
         return queue
 
 
-def _longest_without_server(queued: QueuedCall) -> float:
-    patience_s = queued.deadline.at - queued.arrived
-    return min(NO_SERVER_SECONDS, NO_SERVER_SHARE * patience_s)
+def _max_wait_without_server(queued: QueuedCall) -> float:
+    timeout_s = queued.deadline.at - queued.arrived
+    return min(MAX_NO_SERVER_WAIT_SECONDS, MAX_NO_SERVER_WAIT_SHARE * timeout_s)
 
 
 def no_server(target: str) -> Refusal:
-    """Return the refusal of a call that no server serves."""
+    """Return the refusal of a call whose target no server serves."""
     return Refusal(
         RefusalCode.NO_SERVER, f"no server for {target!r}", retry_after_ms=NO_SERVER_RETRY_MS
     )
 
 
 def tokens_in(text: str) -> int:
-    """Return about how many tokens a text has."""
+    """Return an estimate of the number of tokens in a text."""
     return len(text) // CHARACTERS_PER_TOKEN + 1
--- a/libs/entry/tarragonhall_entry/_settings.py
+++ b/libs/entry/tarragonhall_entry/_settings.py
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EntrySettings:
-    """`listen` is where callers reach this entry, through the platform's balancer."""
+    """`listen` is the address for callers, behind the platform's load balancer."""
 
     listen: str
     queue_per_organisation: int
@@ -21,7 +21,7 @@
     {
         "listen": Address(),
         "queue_per_organisation": Whole(1_000, minimum=1),
-        # Time for the balancer to see that `readyz` fails before the listener closes.
+        # Time for the load balancer to see that `readyz` fails before the listener closes.
         "drain_grace_ms": Whole(2_000),
     },
 )
--- a/libs/entry/tests/conftest.py
+++ b/libs/entry/tests/conftest.py
@@ -1,4 +1,4 @@
-"""An entry on a loopback port, between a journal in memory and sidecars that are functions."""
+"""An entry on a loopback port, with a fake journal in memory and functions as sidecars."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
 
 
 class FakeLink:
-    """A link to a sidecar that answers every dispatch at once."""
+    """A link to a sidecar; each request is answered by the function `sidecar`."""
 
     def __init__(self, sidecar, address) -> None:
         self.sidecar = sidecar
@@ -78,7 +78,7 @@
 
 
 class FakeHub:
-    """Handlers by class, and one link for each address."""
+    """A hub with one handler for each message class and one link for each address."""
 
     def __init__(self) -> None:
         self.handler_by_class = {}
@@ -112,14 +112,14 @@
 
 
 class FakeControl:
-    """A journal in memory, without budgets and order."""
+    """A journal in memory that checks neither budgets nor the order of calls."""
 
     def __init__(self) -> None:
         self.call_by_name = {}
         self.attempts_by_name = {}
         self.program_by_id = {}
         self.commits = []
-        self.questions = []
+        self.queries = []
         self.follower = None
         self.left = False
 
@@ -167,18 +167,18 @@
                 return CallAbandoned()
         raise AssertionError(body)
 
-    def ask(self, question, _timeout_s):
-        self.questions.append(question)
-        if isinstance(question, QueryExecution):
-            known = (question.program_id, question.seq) in self.call_by_name
+    def ask(self, query, _timeout_s):
+        self.queries.append(query)
+        if isinstance(query, QueryExecution):
+            known = (query.program_id, query.seq) in self.call_by_name
             return ExecutionKnown(Execution.UNKNOWN if known else Execution.NOT_RUN)
-        assert isinstance(question, QueryCall)
+        assert isinstance(query, QueryCall)
         missing = Refusal(RefusalCode.NOT_FOUND, "no such call")
-        return self.call_by_name.get((question.program_id, question.seq), missing)
+        return self.call_by_name.get((query.program_id, query.seq), missing)
 
 
 class Entry:
-    """An entry with its fakes, and a caller of it."""
+    """An entry with its fakes, and an HTTP client for it."""
 
     def __init__(self, grace_ms: int = 0) -> None:
         listener = eventlet.listen(("127.0.0.1", 0))
@@ -193,14 +193,14 @@
         self.role = start_entry(
             EntrySettings(self.address, 10, grace_ms), self.context, self.control
         )
-        # As if an earlier owner had handed the bucket over: nothing has to be waited out.
+        # Hand the token buckets over, so that the entry need not wait for an owner's lease to end.
         shares = share_ids("org", Rate(1_000.0, 1_000.0))
         for share in shares:
             self.hub.deliver(None, HandOver(share, 1_000.0 / len(shares), 2))
         self.http = urllib3.PoolManager(retries=False)
 
     def serve(self, sidecar, name: str = "desk-1", kind=ServerKind.SERVICE) -> FakeLink:
-        """Add a backend server whose sidecar is the given function."""
+        """Add a backend server with the given function as its sidecar."""
         address = f"127.0.0.1:{len(self.hub.link_by_address) + 2}"
         link = FakeLink(sidecar, address)
         self.hub.link_by_address[address] = link
@@ -211,12 +211,12 @@
         return link
 
     def end(self, link, dispatch, text: str = "done") -> None:
-        """Send the answer of an attempt."""
+        """Deliver the end of an attempt with an answer."""
         ended = AttemptEnded(dispatch.attempt, AttemptOutcome.ANSWERED, Answer(text))
         self.hub.deliver(link, ended)
 
     def answer_at_once(self, text: str = "done"):
-        """Return a sidecar that answers every dispatch."""
+        """Return a sidecar that accepts and answers every dispatch."""
 
         def sidecar(link, message):
             eventlet.spawn_n(self.end, link, message, text)
--- a/libs/entry/tests/flow_tests.py
+++ b/libs/entry/tests/flow_tests.py
@@ -3,8 +3,7 @@
 from tarragonhall_decisions import GiveUp, TryAgain
 from tarragonhall_entry._effects import (
     Acknowledge,
-    AskControl,
-    Assigned,
+    AcquireSlot,
     AwaitEnd,
     AwaitPredecessor,
     Call,
@@ -12,20 +11,21 @@
     CheckQuarantine,
     Commit,
     DecideRetry,
-    EndPlace,
     EntryInView,
     FindServer,
     LinkLost,
-    Note,
     NotSent,
     Pause,
+    QueryControl,
     Reattach,
-    Restart,
+    RecordEvent,
+    ReleaseSlot,
+    ResetStream,
     SendDispatch,
+    SlotAssigned,
     TakeToken,
-    TryTurn,
+    TryAcquireSlot,
     Unavailable,
-    WaitTurn,
 )
 from tarragonhall_entry._flow import call_flow
 from tarragonhall_model import (
@@ -56,10 +56,10 @@
 )
 
 ANSWER = Answer("done")
-QUIET = (EndPlace, Note, Acknowledge, Restart)
-AGAIN = TryAgain(0.0)
-UNKNOWN = GiveUp(Refusal(RefusalCode.SERVER_FAILED, "may have run", Execution.UNKNOWN))
-STOP = GiveUp(Refusal(RefusalCode.NO_SERVER, "no server"))
+EFFECTS_WITHOUT_RESULT = (ReleaseSlot, RecordEvent, Acknowledge, ResetStream)
+RETRY = TryAgain(0.0)
+GIVE_UP_UNKNOWN = GiveUp(Refusal(RefusalCode.SERVER_FAILED, "may have run", Execution.UNKNOWN))
+GIVE_UP_NOT_RUN = GiveUp(Refusal(RefusalCode.NO_SERVER, "no server"))
 
 
 def call(repeatable: bool = True) -> Call:
@@ -72,7 +72,7 @@
 
 
 def run(the_call: Call, script: list[tuple[type, object]]) -> tuple[CallClosed, list[object]]:
-    """Drive a flow: each script item names the next effect and gives its result."""
+    """Run a flow against a script whose items are the type of the next effect and its result."""
     flow = call_flow(the_call)
     steps = iter(script)
     effects = []
@@ -84,7 +84,7 @@
             assert list(steps) == []
             return stop.value, effects
         effects.append(effect)
-        if isinstance(effect, QUIET):
+        if isinstance(effect, EFFECTS_WITHOUT_RESULT):
             result = None
             continue
         kind = effect.body if isinstance(effect, Commit) else effect
@@ -106,19 +106,19 @@
     return CallClosed(command.answer, command.refusal)
 
 
-OPENED = [(TakeToken, None), (TryTurn, None), (OpenCall, CallOpened(0, []))]
+OPENED = [(TakeToken, None), (TryAcquireSlot, None), (OpenCall, CallOpened(0, []))]
 
 
 def attempt_on(name: str, reply: object) -> list[tuple[type, object]]:
     return [
-        (WaitTurn, Assigned(server(name))),
+        (AcquireSlot, SlotAssigned(server(name))),
         (StartAttempt, recorded),
         (CheckKey, None),
         (SendDispatch, reply),
     ]
 
 
-def test_the_end_is_committed_before_the_caller_and_the_sidecar_hear_of_it():
+def test_the_end_is_committed_before_the_caller_and_the_sidecar_are_notified():
     result, effects = run(
         call(),
         [
@@ -135,32 +135,32 @@
 
 def test_a_resend_of_a_closed_call_gets_the_recorded_answer():
     result, _ = run(
-        call(), [(TakeToken, None), (TryTurn, None), (OpenCall, CallClosed(answer=ANSWER))]
+        call(), [(TakeToken, None), (TryAcquireSlot, None), (OpenCall, CallClosed(answer=ANSWER))]
     )
     assert result.answer == ANSWER
 
 
-def test_a_server_that_takes_no_call_costs_one_proof_and_another_server_is_tried():
+def test_a_rejected_attempt_is_disproved_and_retried_on_another_server():
     result, effects = run(
         call(repeatable=False),
         [
             *OPENED,
             *attempt_on("desk-1", Rejected(RejectReason.DRAINING)),
             (DisproveAttempt, CallOpened(1, [])),
-            (DecideRetry, AGAIN),
+            (DecideRetry, RETRY),
             *attempt_on("desk-2", Accepted()),
             (AwaitEnd, ended(AttemptOutcome.ANSWERED, ANSWER)),
             (CloseCall, closed),
         ],
     )
     assert result.answer == ANSWER
-    wishes = [e for e in effects if isinstance(e, WaitTurn)]
-    assert wishes[1].excluded == {"desk-1"}
+    requests = [e for e in effects if isinstance(e, AcquireSlot)]
+    assert requests[1].excluded == {"desk-1"}
 
 
 def test_a_refusal_of_a_non_repeatable_call_that_may_have_run_says_unknown():
-    # The desk charges a district and its machine dies before it answers. Told "not run", the caller
-    # would have the district charged again.
+    # A billing service charges a customer, and its machine fails before it answers. With "not run"
+    # the caller would have the customer charged again.
     result, _ = run(
         call(repeatable=False),
         [
@@ -170,7 +170,7 @@
             (Reattach, LinkLost()),
             (Pause, True),
             (FindServer, None),
-            (DecideRetry, UNKNOWN),
+            (DecideRetry, GIVE_UP_UNKNOWN),
             (CloseCall, closed),
         ],
     )
@@ -178,23 +178,23 @@
     assert result.refusal.execution is Execution.UNKNOWN
 
 
-def test_a_new_life_of_the_sidecar_proves_nothing_about_the_old_one():
-    # The sidecar restarts while a billing call runs. Its new life has never heard of the call and
-    # says so; taken as a proof, the district would be billed a second time on another server.
+def test_a_new_incarnation_of_the_sidecar_proves_nothing_about_the_old_one():
+    # The sidecar restarts while a billing call runs, and its new incarnation rejects the attach.
+    # Taken as proof that the call never ran, another server would bill the customer again.
     result, _ = run(
         call(repeatable=False),
         [
             *OPENED,
             *attempt_on("desk-1", LinkLost()),
             (Reattach, Rejected(RejectReason.INCARNATION)),
-            (DecideRetry, UNKNOWN),
+            (DecideRetry, GIVE_UP_UNKNOWN),
             (CloseCall, closed),
         ],
     )
     assert result.refusal.execution is Execution.UNKNOWN
 
 
-def test_a_lost_dispatch_is_tried_elsewhere_once_its_tombstone_is_written():
+def test_a_lost_dispatch_is_retried_elsewhere_once_its_tombstone_is_written():
     result, _ = run(
         call(repeatable=False),
         [
@@ -202,10 +202,10 @@
             *attempt_on("desk-1", LinkLost()),
             (Reattach, Rejected(RejectReason.TOMBSTONE)),
             (DisproveAttempt, CallOpened(1, [])),
-            (DecideRetry, AGAIN),
+            (DecideRetry, RETRY),
             *attempt_on("desk-2", NotSent()),
             (DisproveAttempt, CallOpened(2, [])),
-            (DecideRetry, STOP),
+            (DecideRetry, GIVE_UP_NOT_RUN),
             (AbandonCall, CallAbandoned()),
         ],
     )
@@ -221,42 +221,42 @@
             *attempt_on("desk-1", Accepted()),
             (AwaitEnd, ended(AttemptOutcome.CRASHED)),
             (CheckQuarantine, None),
-            (DecideRetry, AGAIN),
+            (DecideRetry, RETRY),
             *attempt_on("desk-2", Accepted()),
             (AwaitEnd, ended(AttemptOutcome.ANSWERED, ANSWER)),
             (CloseCall, closed),
         ],
     )
     assert result.answer == ANSWER
-    assert any(isinstance(effect, Restart) for effect in effects)
+    assert any(isinstance(effect, ResetStream) for effect in effects)
 
 
 def test_a_failed_attempt_is_never_refused_as_not_run():
-    # The first attempt ran halfway and failed; while the call waits for another server its time is
-    # up. The call did run, so the refusal must not deny it.
+    # The first attempt ran partly and failed, and the deadline passes while the call waits for
+    # another server. The call did run, so the refusal must not say "not run".
     result, _ = run(
         call(),
         [
             *OPENED,
             *attempt_on("desk-1", Accepted()),
             (AwaitEnd, ended(AttemptOutcome.FAILED)),
-            (DecideRetry, AGAIN),
-            (WaitTurn, Refusal(RefusalCode.DEADLINE, "late")),
+            (DecideRetry, RETRY),
+            (AcquireSlot, Refusal(RefusalCode.DEADLINE, "late")),
             (CloseCall, closed),
         ],
     )
     assert result.refusal.execution is Execution.UNKNOWN
 
 
-def test_a_key_withdrawn_while_the_call_waits_ends_it_unrun():
-    # A key is withdrawn after the call was queued but before its dispatch. Without a second look at
-    # the key, the work of a former caller would still run.
+def test_a_call_whose_key_is_withdrawn_while_it_waits_is_not_dispatched():
+    # A key is withdrawn after the call was queued but before its dispatch. Without a second check
+    # of the key, the call would still run.
     withdrawn = Refusal(RefusalCode.UNAUTHENTICATED, "withdrawn")
     result, effects = run(
         call(),
         [
             *OPENED,
-            (WaitTurn, Assigned(server())),
+            (AcquireSlot, SlotAssigned(server())),
             (StartAttempt, recorded),
             (CheckKey, withdrawn),
             (DisproveAttempt, CallOpened(1, [])),
@@ -268,14 +268,14 @@
 
 
 def test_a_refused_resend_of_a_running_call_joins_it_instead():
-    # The first entry died after the dispatch and the caller sends the call again while its
-    # organisation is above its rate. "Not run" would be untrue: the call is running.
+    # The first entry failed after the dispatch, and the caller resends the call while its
+    # organisation is above its rate. "Not run" would be false: the call is running.
     running = CallRunning("entry-2", None)
     result, _ = run(
         call(),
         [
             (TakeToken, Refusal(RefusalCode.RATE_EXCEEDED, "above", retry_after_ms=9)),
-            (AskControl, running),
+            (QueryControl, running),
             (OpenCall, running),
             (Pause, True),
             (OpenCall, CallClosed(answer=ANSWER)),
@@ -289,20 +289,20 @@
         call(),
         [
             (TakeToken, Refusal(RefusalCode.RATE_EXCEEDED, "above", retry_after_ms=9)),
-            (AskControl, Unavailable("cut off")),
+            (QueryControl, Unavailable("cut off")),
         ],
     )
     assert result.refusal.execution is Execution.UNKNOWN
     assert result.refusal.retry_after_ms == 9
 
 
-def test_an_early_call_waits_for_the_one_before_it():
+def test_an_early_call_waits_for_its_predecessor():
     early = Refusal(RefusalCode.CONFLICT, "early", retry_after_ms=20)
     result, _ = run(
         call(),
         [
             (TakeToken, None),
-            (TryTurn, None),
+            (TryAcquireSlot, None),
             (OpenCall, early),
             (AwaitPredecessor, True),
             (OpenCall, CallClosed(answer=ANSWER)),
@@ -317,7 +317,7 @@
         call(),
         [
             (TakeToken, None),
-            (TryTurn, None),
+            (TryAcquireSlot, None),
             (OpenCall, CallRunning("entry-2", attempt)),
             (Reattach, Accepted()),
             (AwaitEnd, ended(AttemptOutcome.ANSWERED, ANSWER)),
@@ -329,8 +329,8 @@
 
 
 def test_a_request_that_crashed_its_servers_is_not_sent_to_another():
-    # One request crashes every server that runs it. Tried again and again it would take them all
-    # down, so its caller is told, and not that it never ran.
+    # A request crashes every server that runs it. Retries would take down all servers, so the
+    # caller gets a refusal, which must not say "not run".
     quarantined = Refusal(RefusalCode.QUARANTINED, "crashes servers")
     result, _ = run(
         call(),
@@ -346,22 +346,22 @@
     assert result.refusal.execution is Execution.UNKNOWN
 
 
-def test_a_repeatable_call_whose_server_is_gone_is_opened_anew_by_the_next_entry():
-    # The first entry and the server of a repeatable call die together, and the caller sends it
-    # again. Nobody can tell what became of the attempt; without a new one the call would hang.
+def test_a_repeatable_call_whose_server_is_lost_is_reopened_by_the_next_entry():
+    # The first entry and the server of a repeatable call fail together, and the caller resends it.
+    # The result of the attempt cannot be found out; without a new one the call would hang.
     attempt = AttemptId("prog-1", 1, 1, "desk-1", "life-desk-1")
     result, effects = run(
         call(),
         [
             (TakeToken, None),
-            (TryTurn, None),
+            (TryAcquireSlot, None),
             (OpenCall, CallRunning("entry-2", attempt)),
             (Reattach, LinkLost()),
             (EntryInView, False),
             (Reattach, LinkLost()),
             (Pause, True),
             (FindServer, None),
-            (DecideRetry, AGAIN),
+            (DecideRetry, RETRY),
             (OpenCall, lambda command: CallOpened(1, []) if command.lost_attempt else None),
             *attempt_on("desk-2", Accepted()),
             (AwaitEnd, ended(AttemptOutcome.ANSWERED, ANSWER)),
@@ -373,9 +373,9 @@
     assert [one.message.attempt.number for one in sent] == [2]
 
 
-def test_a_refusal_of_the_journal_after_the_run_does_not_deny_it():
-    # A program was dropped from the journal while its last call ran. "No such program" must not
-    # come with "not run": the call did run.
+def test_a_refusal_from_the_journal_after_the_run_says_unknown():
+    # A program was dropped from the journal while its last call ran. The refusal "no such program"
+    # must not say "not run": the call did run.
     result, _ = run(
         call(),
         [
@@ -388,12 +388,12 @@
     assert result.refusal.execution is Execution.UNKNOWN
 
 
-def test_a_free_server_saves_the_commit_of_the_first_attempt():
+def test_with_a_free_server_the_first_attempt_needs_no_commit_of_its_own():
     result, effects = run(
         call(),
         [
             (TakeToken, None),
-            (TryTurn, Assigned(server())),
+            (TryAcquireSlot, SlotAssigned(server())),
             (
                 OpenCall,
                 lambda command: CallOpened(1, [], started=command.first_attempt.number == 1),
@@ -408,26 +408,30 @@
     assert [type(e.body) for e in effects if isinstance(e, Commit)] == [OpenCall, CloseCall]
 
 
-def test_the_place_of_a_resend_is_given_back_unused():
-    # The caller sends a finished call again. The place taken for it before the journal was asked
-    # must be free again, or the server would seem full after a few resends.
+def test_the_slot_of_a_resend_is_released_unused():
+    # The caller resends a finished call. The slot acquired for it before the commit must be
+    # released, or the server would seem full after a few resends.
     result, effects = run(
         call(),
         [
             (TakeToken, None),
-            (TryTurn, Assigned(server())),
+            (TryAcquireSlot, SlotAssigned(server())),
             (OpenCall, CallClosed(answer=ANSWER)),
         ],
     )
     assert result.answer == ANSWER
-    assert [effect for effect in effects if isinstance(effect, EndPlace)] == [EndPlace(used=False)]
+    assert [effect for effect in effects if isinstance(effect, ReleaseSlot)] == [
+        ReleaseSlot(used=False)
+    ]
 
 
 def test_a_call_that_the_queue_refuses_costs_no_commit():
-    # A tenant sends far more than the servers can take. If each refusal were put in the journal,
-    # the overload of one target would become that of everybody's journal.
+    # An organisation sends far more than the servers can take. If each refusal cost a commit, the
+    # overload of one target would overload the journal for everybody.
     full = Refusal(RefusalCode.OVERLOADED, "full", retry_after_ms=100)
     missing = Refusal(RefusalCode.NOT_FOUND, "no such call")
-    result, effects = run(call(), [(TakeToken, None), (TryTurn, full), (AskControl, missing)])
+    result, effects = run(
+        call(), [(TakeToken, None), (TryAcquireSlot, full), (QueryControl, missing)]
+    )
     assert result.refusal == full
     assert not any(isinstance(effect, Commit) for effect in effects)
--- a/libs/entry/tests/requests_tests.py
+++ b/libs/entry/tests/requests_tests.py
@@ -28,14 +28,14 @@
     assert load_call(MODEL_CALL, MODELS).repeatable is True
 
 
-def test_an_object_has_one_spelling_however_it_was_sent():
-    # A caller's library writes the names of an object in another order when it sends a call again.
-    # Compared as text, the resend would be refused as a conflict.
+def test_equal_json_objects_give_equal_bodies():
+    # A caller's library may write the members of an object in another order when it resends a call.
+    # Compared as sent, the resend would be refused as a conflict.
     other = SERVICE_CALL | {"body": {"a": [2], "b": 1}}
     assert load_call(SERVICE_CALL, MODELS) == load_call(other, MODELS)
 
 
-def test_the_model_in_force_bounds_the_tokens():
+def test_the_model_policy_limits_max_tokens():
     assert load_call(MODEL_CALL, MODELS).max_tokens == 100
     for wrong in (0, 101):
         with pytest.raises(InputError, match="/max_tokens: expected a number from 1 to 100"):
@@ -43,9 +43,9 @@
 
 
 @pytest.mark.parametrize("body", [float("nan"), float("inf"), "\ud800", ["\udfff"]])
-def test_a_body_that_no_other_process_could_read_is_a_finding(body):
-    # JSON can spell half of a surrogate pair, and the parser takes NaN. Neither can travel: the
-    # caller would see an internal error and not know whether its call ran.
+def test_a_body_that_cannot_be_encoded_is_a_finding(body):
+    # JSON can express an unpaired surrogate, and the parser accepts NaN. Neither can be sent to
+    # other processes: the caller would get an internal error and not know whether its call ran.
     if body == ["\udfff"]:
         assert load_call(SERVICE_CALL | {"body": body}, MODELS).body == '["\\udfff"]'
         return
@@ -53,17 +53,17 @@
         load_call(SERVICE_CALL | {"body": body}, MODELS)
 
 
-def test_labels_and_idempotency_keys_are_bounded():
+def test_labels_and_idempotency_keys_are_limited():
     with pytest.raises(InputError, match="/labels: more than 32"):
         load_open({"labels": {str(number): "x" for number in range(33)}})
-    with pytest.raises(InputError, match="/labels/\ud800: holds half"):
+    with pytest.raises(InputError, match="/labels/\ud800: contains an unpaired surrogate"):
         load_open({"labels": {"\ud800": "x"}})
     with pytest.raises(InputError, match="Idempotency-Key: longer than 256"):
         load_idempotency_key("x" * 257)
 
 
 @given(st.dictionaries(FIELDS, JSON))
-def test_any_object_is_a_call_that_can_travel_or_a_list_of_findings(value):
+def test_any_object_gives_a_call_that_can_be_encoded_or_findings(value):
     try:
         spec = load_call(value, MODELS)
     except InputError as error:
--- a/libs/entry/tests/role_tests.py
+++ b/libs/entry/tests/role_tests.py
@@ -58,9 +58,9 @@
     assert events[-1][1]["answer"]["text"] == "today"
 
 
-def test_a_caller_who_asks_again_while_the_call_runs_gets_the_same_answer(entry):
-    # A caller loses patience and sends a billing call a second time on a new connection. Both must
-    # hear of the one run; a second dispatch would bill the district twice.
+def test_a_resend_while_the_call_runs_gets_the_same_answer(entry):
+    # A caller resends a billing call on a new connection before the first request has ended. Both
+    # must get the answer of one run; a second dispatch would bill the customer twice.
     link = entry.serve(lambda _link, _message: Accepted())
     first = eventlet.spawn(entry.call)
     second = eventlet.spawn(entry.call)
@@ -70,9 +70,9 @@
     assert [type(message) for message in link.sent].count(Dispatch) == 1
 
 
-def test_an_answer_under_another_attempt_reaches_nobody(entry):
-    # A service mixes up two requests and answers one under the number of another. The caller would
-    # read somebody else's confirmation.
+def test_an_answer_for_an_unknown_attempt_is_dropped(entry):
+    # A service mixes up two requests and answers one under the attempt number of the other. The
+    # caller would get the confirmation of another request.
     def sidecar(link, message):
         other = dataclasses.replace(message.attempt, number=7)
         eventlet.spawn_n(entry.end, link, dataclasses.replace(message, attempt=other), "crossed")
@@ -84,9 +84,9 @@
     assert entry.metrics.counts["entry.attempt_end_unmatched"] == 1
 
 
-def test_a_withdrawn_key_stops_on_a_connection_that_stays_open(entry):
-    # An operator withdraws the key of a caller who keeps the connection open. Checked only when the
-    # connection began, the key would work for as long as the caller stays.
+def test_a_withdrawn_key_is_rejected_on_an_open_connection(entry):
+    # An operator withdraws the key of a caller that keeps its connection open. If keys were checked
+    # only once per connection, the key would work until the connection closes.
     entry.serve(entry.answer_at_once())
     assert entry.call(1).status == 200
     entry.control.follower.apply_policy(PolicyDelta(1, 2, removed_keys=(secret_hash("thk_test"),)))
@@ -95,9 +95,9 @@
     assert refused.json()["execution"] == "not_run"
 
 
-def test_a_resend_with_a_withdrawn_key_is_not_said_to_have_not_run(entry):
-    # A call ran, its reply was lost and its key is withdrawn. Told "not_run" at the resend, the
-    # caller would have the same work done again under its next key.
+def test_a_resend_with_a_withdrawn_key_says_unknown(entry):
+    # A call ran, its reply was lost and its key is withdrawn. If the resend were refused as
+    # "not_run", the caller would repeat the work with its next key.
     entry.serve(entry.answer_at_once())
     assert entry.call(1).status == 200
     entry.control.follower.apply_policy(PolicyDelta(1, 2, removed_keys=(secret_hash("thk_test"),)))
@@ -106,8 +106,8 @@
     assert "answer" not in refused.json()
 
 
-def test_callers_without_a_key_ask_control_only_a_few_questions_at_once(entry):
-    # Somebody tries keys at a high rate. With a question for each, control would be busy with them.
+def test_concurrent_queries_for_requests_without_a_valid_key_are_limited(entry):
+    # Somebody guesses keys at a high rate. One query for each request would overload control.
     released = Event()
     asked = []
 
@@ -127,9 +127,9 @@
     assert len(asked) == 4
 
 
-def test_every_call_of_a_crowd_over_its_rate_is_told_that_it_has_not_run(entry):
-    # Forty programs of one organisation come at once and it is over its rate. Control answers
-    # slowly. Whoever is told "unknown" must not send a billing call again, though it never ran.
+def test_every_call_of_a_burst_above_the_rate_is_refused_as_not_run(entry):
+    # Forty calls of an organisation above its rate arrive at once, and control replies slowly. A
+    # caller that gets "unknown" must not resend a billing call, although it never ran.
     limited = OrganisationPolicy("org", "/org", Rate(0.001, 1.0))
     entry.control.follower.apply_policy(PolicyDelta(1, 2, organisations=(limited,)))
     ask = entry.control.ask
@@ -149,17 +149,17 @@
     assert {one["execution"] for one in refused} == {"not_run"}
 
 
-def test_a_call_that_no_server_can_run_is_refused_while_its_caller_still_listens(entry):
-    # Its only server was drained. Refused in its last moments, the call ends before the journal
-    # has confirmed that it will not be started, and its caller hears "unknown".
+def test_a_call_that_no_server_can_run_is_refused_well_before_its_deadline(entry):
+    # The only server of a target was drained. If the call were refused just before its deadline, it
+    # would end before the journal confirms that it will not be started, and say "unknown".
     started = entry.context.monotonic()
     refused = entry.call(timeout_ms=1_500)
     assert (refused.json()["error"], refused.json()["execution"]) == ("no_server", "not_run")
     assert entry.context.monotonic() - started < 1.2
 
 
-def test_a_stale_entry_does_not_say_that_a_call_has_not_run(entry):
-    # A caller resends a call that ran through another entry; this one is cut off from control.
+def test_a_stale_entry_refuses_a_call_as_unknown(entry):
+    # A caller resends a call that ran through another entry; this one cannot reach control.
     entry.control.follower.lease_seconds = 0.0
     refused = entry.call()
     assert (refused.json()["error"], refused.json()["execution"]) == ("stale", "unknown")
@@ -167,8 +167,8 @@
 
 
 def test_an_entry_that_cannot_confirm_its_settings_admits_nothing(entry):
-    # The entry is cut off from the control members for longer than its lease. A key withdrawn
-    # meanwhile would go on working here.
+    # The entry cannot reach the control members for longer than its lease. A key withdrawn
+    # meanwhile would still be accepted here.
     entry.serve(entry.answer_at_once())
     entry.control.follower.lease_seconds = 0.0
     refused = entry.call()
@@ -178,8 +178,8 @@
 
 
 def test_a_call_that_waits_is_refused_once_its_key_is_withdrawn(entry):
-    # No server is free and the key is withdrawn while the call waits. Its caller must not sit out
-    # the rest of the timeout, and the call must not run later.
+    # No server is free and the key is withdrawn while the call waits. The call must be refused
+    # before its timeout, and must not run later.
     waiting = eventlet.spawn(entry.call)
     eventlet.sleep(0.05)
     entry.control.follower.apply_policy(PolicyDelta(1, 2, removed_keys=(secret_hash("thk_test"),)))
@@ -188,9 +188,9 @@
     assert entry.control.call_by_name == {}
 
 
-def test_a_call_asked_for_again_with_a_new_key_outlives_the_old_one(entry):
-    # Keys are rotated: the caller sends its waiting call again with the new key, and the old one is
-    # withdrawn. The call must go on, and not be refused for a key that nobody uses any more.
+def test_a_call_resent_with_a_new_key_continues_after_the_old_one_is_withdrawn(entry):
+    # During a key rotation a caller resends its waiting call with the new key, and the old key is
+    # withdrawn. The call must not be refused for the old key.
     new = KeyPolicy(secret_hash("thk_new"), "org")
     entry.control.follower.apply_policy(PolicyDelta(1, 2, keys=(new,)))
     first = eventlet.spawn(entry.call)
@@ -211,9 +211,9 @@
     assert secret_hash("thk_test").encode() not in sent
 
 
-def test_a_drain_finishes_what_runs_and_what_still_arrives(entry):
-    # The instance is replaced while a call runs and a caller's connection has just been accepted.
-    # Closed at once, both callers would see a reset.
+def test_a_drain_finishes_running_and_newly_arrived_requests(entry):
+    # The instance is replaced while a call runs and another connection has just been accepted. If
+    # the listener closed at once, both callers would see a connection reset.
     link = entry.serve(lambda _link, _message: Accepted())
     first = eventlet.spawn(entry.call, 1)
     dispatch = _wait_for_dispatch(link)
@@ -227,9 +227,9 @@
     assert entry.control.left
 
 
-def test_a_call_that_still_waits_at_the_end_of_a_drain_is_handed_back(entry):
-    # No server takes the call and the instance has to go. Its caller is told in time to send it to
-    # another entry, and that it did not run, instead of seeing the connection break.
+def test_a_call_that_still_waits_at_the_end_of_a_drain_is_refused(entry):
+    # No server takes the call before the entry must stop. Its caller must be refused with "not_run"
+    # in time to retry at another entry, and not see the connection break.
     waiting = eventlet.spawn(entry.call)
     eventlet.sleep(0.05)
     assert entry.role.drain(1.3) is False
@@ -257,22 +257,21 @@
 
 
 def test_a_sidecar_whose_link_closed_gets_no_work_until_it_reports_again(entry):
-    """A sidecar's process dies and stays in the view until its timeout. A call that is sent to it
-    meanwhile fails first and is tried again. Once it reports it must be used like any other.
-    """
-    gone = entry.serve(entry.answer_at_once(), "desk-1")
-    kept = entry.serve(entry.answer_at_once(), "desk-2")
-    entry.hub.cut(gone.peer.address)
-    # Dialled again, but nothing is known of the new process yet.
-    entry.hub.link_by_address[gone.peer.address] = gone
+    # A sidecar's process dies and stays in the view until its timeout. A call sent to it meanwhile
+    # would fail and be retried. Once it reports its load, it must get calls again.
+    restarted = entry.serve(entry.answer_at_once(), "desk-1")
+    other = entry.serve(entry.answer_at_once(), "desk-2")
+    entry.hub.cut(restarted.peer.address)
+    # The link is up again, but the new process has not reported.
+    entry.hub.link_by_address[restarted.peer.address] = restarted
     for seq in range(1, 5):
         assert entry.call(seq).status == 200
-    assert dispatches(gone) == 0
-    assert dispatches(kept) == 4
-    entry.hub.cut(kept.peer.address)
-    entry.hub.deliver(gone, LoadReport("desk-1", "life-desk-1", 0, 0, 2))
+    assert dispatches(restarted) == 0
+    assert dispatches(other) == 4
+    entry.hub.cut(other.peer.address)
+    entry.hub.deliver(restarted, LoadReport("desk-1", "life-desk-1", 0, 0, 2))
     assert entry.call(5).status == 200
-    assert dispatches(gone) == 1
+    assert dispatches(restarted) == 1
 
 
 def dispatches(link) -> int:
