--- a/libs/decisions/tarragonhall_decisions/_bucket_owners.py
+++ b/libs/decisions/tarragonhall_decisions/_bucket_owners.py
@@ -1,4 +1,4 @@
-"""Which entry owns the bucket of each organisation: the rendezvous choice over the view."""
+"""Owners of the organisations' buckets, by rendezvous hashing over the entries in the view."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class BucketOwners:
-    """The owners in the view held; looked up when an organisation calls, then remembered."""
+    """The owners in the current view, computed on first use and cached."""
 
     __slots__ = ("_ids", "_owner_by_org")
 
@@ -15,12 +15,10 @@
         self._owner_by_org: dict[str, str | None] = {}
 
     def set_entries(self, ids: set[str]) -> bool:
-        """Take over the entries; return whether one of those before is gone.
+        """Set the entries and update the cached owners; return whether an entry was removed.
 
-        The owners known so far are corrected for the change.
-
-        An owner that stays can only lose to an entry that is new. Looking all of them up again at
-        each restart of an entry would stop the loop for seconds with thousands of organisations.
+        An owner that stays can only lose to a new entry. Recomputing every owner at each restart of
+        an entry would block the event loop for seconds with thousands of organisations.
         """
         added = sorted(ids - self._ids)
         lost = not self._ids <= ids
--- a/libs/decisions/tarragonhall_decisions/_rate.py
+++ b/libs/decisions/tarragonhall_decisions/_rate.py
@@ -1,35 +1,36 @@
-"""Rate and burst of each organisation over all entries together.
-
-Load pattern: a tenant sends ten times its rate through every entry at once; another sends a few
-calls a minute, each through a different entry. A split of the rate by instance refuses the second
-although it is far inside its rate; counting at each entry alone lets the first have its rate times
-the number of entries.
-
-One entry owns the bucket of an organisation: the rendezvous choice over the entries in the view.
-The others (and the owner for itself) draw slices for the calls that wait, and spend each slice
-within `valid_ms` of the instant at which they asked for it. A call waits for its token as long as
-that leaves half of its time to run; a call that would wait longer is refused at once, with the time
-after which there is room. Calls of programs under way come before calls that start a program, so
-that a tenant over its rate finishes programs rather than starting ever more.
-
-Owner changes: an owner grants only while the control group has confirmed its view within a lease,
-so every owner has stopped one lease after the entries changed. A new owner starts with an empty
-bucket one lease and one slice after it learnt of the change, or at once with the bucket that the
-earlier owner hands over. An entry that comes back at its address owns what its earlier life owned;
-where the owners before were waited out already, it waits for that life's slices alone. Without this
-a killed entry that is back after a second cost its organisations another second and a half.
-
-Control counts these changes (`View.owners_version`): an entry that missed one gives up all its
-buckets, since another may have owned them and started them afresh.
-
-What stays: a tenant's calls wait while a dead owner is waited out; they are admitted afterwards if
-half of their time is not over by then.
-
-Only what is in use is computed: an owner is looked up when its organisation calls, so a change of
-the view costs nothing for the thousands of organisations that are quiet.
-
-The figures and their grounds are in `_bucket` and `_rate_holder`; the owner's part is in
-`_owned_buckets`, and how long earlier owners are waited out is decided in `_earlier_owners`.
+"""Rate and burst of each organisation, enforced over all entries together.
+
+Load pattern: one organisation sends ten times its rate through every entry at once; another sends a
+few calls a minute, each through a different entry. Splitting the rate by instance refuses the
+second although it is far within its rate; counting at each entry alone grants the first its rate
+times the number of entries.
+
+One entry owns the bucket of an organisation, chosen by rendezvous hashing over the entries in the
+view. The others (and the owner for itself) draw slices of tokens for waiting calls, and spend each
+slice within `valid_ms` of their request for it. A call waits for its token as long as that leaves
+half of its time to run. A call that would wait longer is refused at once, with the time after which
+there is room. Calls of programs that have started go before calls that start a program, so that an
+organisation over its rate finishes programs instead of starting more.
+
+Owner changes: an owner grants only within a lease after the control group confirmed its view, so
+every previous owner has stopped one lease after the entries changed. A new owner starts with an
+empty bucket one lease and one slice after it received the change, or at once with the bucket that
+the previous owner hands over. An entry that restarts at its address owns what its previous
+incarnation owned; if all owners before that one were already waited out, it waits only for that
+incarnation's slices. Without this rule, an entry killed and back after one second would stop its
+organisations for another second and a half.
+
+Control counts these changes (`View.owners_version`). An entry that missed one drops all its
+buckets, because another entry may have owned them and started new ones.
+
+Known limit: an organisation's calls wait while a dead owner is waited out. They are admitted
+afterwards if less than half of their time has passed.
+
+State exists only for organisations in use: an owner is computed when its organisation calls, so a
+change of the view costs nothing for thousands of idle organisations.
+
+`_bucket` and `_rate_holder` hold the constants and their reasons, `_owned_buckets` the owner's
+part, and `_earlier_owners` decides how long previous owners are waited out.
 """
 
 from __future__ import annotations
@@ -54,8 +55,8 @@
 from tarragonhall_decisions._earlier_owners import EarlierOwners
 from tarragonhall_decisions._owned_buckets import OwnedBuckets, Tell
 from tarragonhall_decisions._rate_holder import (
-    ASK_TIMEOUT_S,
     MIN_PAUSE_S,
+    REQUEST_TIMEOUT_S,
     Admitted,
     Holder,
     RateRefused,
@@ -64,9 +65,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Ask:
-    """Send a request to a peer entry; its reply goes to `on_reply` with this `sent_at`.
+    """Send a request to a peer entry and pass its reply, with this `sent_at`, to `on_reply`.
 
-    Where the request cannot be sent or is not answered, `on_no_reply` is called in its place.
+    If the request cannot be sent or is not answered, call `on_no_reply` instead.
     """
 
     entry_id: str
@@ -75,20 +76,21 @@
     sent_at: float
 
 
-# An owner grants only while control confirmed its view within this time. Entries hear from control
-# once a second; when a heartbeat is later than half a second, calls wait until it comes. A longer
-# lease would spare that wait, but when an owner dies all its callers wait for the whole of it.
+# An owner grants only within this time after control confirmed its view. Entries send a heartbeat
+# to control once a second; if its reply is more than half a second late, calls wait for it. A
+# longer lease would avoid that wait, but when an owner dies, all its callers wait for the whole
+# lease.
 LEASE_S = 1.5
-# What an owner granted at the end of its lease is spent or void after this.
+# Tokens granted at the end of a lease are spent or void after this time.
 OWNERSHIP_S = LEASE_S + SLICE_VALID_S
 
 RateOutput = Admitted | RateRefused | Ask | Tell
 
 
 class RateLimiter:
-    """The part of one entry in the rates of all organisations, as holder and as owner.
+    """One entry's part in the rates of all organisations, as holder and as owner.
 
-    The shell calls `tick` when `next_wake` comes, sends what is returned, and passes on replies.
+    The caller runs `tick` when `next_wake` is due, sends the outputs, and passes on the replies.
     """
 
     def __init__(
@@ -102,51 +104,54 @@
         self.entry_id = entry_id
         self._holder_id = f"{entry_id}@{incarnation}"
         self._lease_s = lease_s
-        self._fresh_until = float("-inf")
+        self._lease_until = float("-inf")
         self._epoch = -1
         self._rate_by_org: dict[str, Rate] = {}
         self._holder_by_org: dict[str, Holder] = {}
         self._owners = BucketOwners()
         earlier = EarlierOwners(lease_s, started_at)
-        self._owned = OwnedBuckets(
+        self._owned_buckets = OwnedBuckets(
             entry_id, incarnation, rng, earlier, self._owners, self._rate_by_org
         )
 
     def set_policy(self, policy: OrganisationPolicy, now: float) -> None:
-        """Take over the rate in force for an organisation."""
+        """Set the rate in force for an organisation."""
         rate = policy.rate
         self._rate_by_org[policy.org_id] = rate
         holder = self._holder_by_org.get(policy.org_id)
         if holder is not None:
             holder.rate = rate
-        self._owned.set_rate(policy.org_id, rate, now)
+        self._owned_buckets.set_rate(policy.org_id, rate, now)
 
     def remove_organisation(self, org_id: str) -> None:
-        """Forget an organisation that no longer exists."""
+        """Remove an organisation that no longer exists."""
         self._rate_by_org.pop(org_id, None)
         self._holder_by_org.pop(org_id, None)
 
     def on_view(self, view: View, now: float) -> list[RateOutput]:
-        """Take over a view. Call this before `on_fresh` where one reply carries both."""
+        """Apply a view. Call this before `renew_lease` if one reply carries both."""
         if view.epoch <= self._epoch:
             return []
         self._epoch = view.epoch
-        if self._owned.has_entries_of(view):
-            self._owned.on_same_entries(view, now)
+        if self._owned_buckets.has_entries_of(view):
+            self._owned_buckets.on_same_entries(view, now)
             return self.tick(now)
-        outputs: list[RateOutput] = list(self._owned.on_entries_changed(view, now))
+        outputs: list[RateOutput] = list(self._owned_buckets.on_entries_changed(view, now))
         for holder in self._holder_by_org.values():
             holder.on_owner_change()
         outputs.extend(self.tick(now))
         return outputs
 
     def settled_owners(self, now: float) -> int:
-        """Return the version of the view's owners whose predecessors were waited out, or 0."""
-        return self._owned.settled_owners(now)
+        """Return the version of the view's owners once all previous ones are waited out, else 0."""
+        return self._owned_buckets.settled_owners(now)
 
-    def on_fresh(self, sent_at: float) -> None:
-        """Note that control confirmed the view; `sent_at` is when that heartbeat was sent."""
-        self._fresh_until = max(self._fresh_until, sent_at + self._lease_s)
+    def renew_lease(self, sent_at: float) -> None:
+        """Extend the lease after control confirmed the view.
+
+        `sent_at` is when the confirmed heartbeat was sent.
+        """
+        self._lease_until = max(self._lease_until, sent_at + self._lease_s)
 
     def offer(
         self,
@@ -157,53 +162,53 @@
         now: float,
         run_s: float | None = None,
     ) -> list[RateOutput]:
-        """Ask for a token for a call; `started` says whether its program had a call before.
+        """Request a token for a call; `started` says whether its program had a call before.
 
-        `run_s` is for how long calls of its kind run, where that is known.
+        `run_s` is the usual run time of such calls, if known.
         """
         holder = self._holder(org_id)
         decided = holder.offer(call_id, deadline, started, now, run_s)
         if decided is not None:
             return [decided]
-        return self._pump(org_id, holder, now)
+        return self._process(org_id, holder, now)
 
     def owner_of(self, org_id: str) -> str | None:
-        """Return the entry that owns the bucket of an organisation in the view held."""
+        """Return the entry that owns the organisation's bucket in the current view."""
         return self._owners.owner(org_id)
 
-    def is_dry(self, org_id: str, now: float) -> bool:
-        """Return whether, by its owner's last word, the organisation has used up its rate."""
+    def is_exhausted(self, org_id: str, now: float) -> bool:
+        """Return whether, by its owner's last reply, the organisation has used up its rate."""
         holder = self._holder_by_org.get(org_id)
-        return holder is not None and holder.is_dry(now)
+        return holder is not None and holder.is_exhausted(now)
 
-    def give_back(self, org_id: str, now: float) -> bool:
-        """Return the token of a call that was admitted and did not run, where that is possible."""
+    def return_token(self, org_id: str, now: float) -> bool:
+        """Return the token of an admitted call that did not run; False if it is too late."""
         holder = self._holder_by_org.get(org_id)
-        return holder is not None and holder.give_back(now)
+        return holder is not None and holder.return_token(now)
 
-    def is_shut(self, org_id: str, now: float) -> bool:
-        """Return whether the owner grants nothing now: it is not heard, or its bucket not begun."""
+    def is_unavailable(self, org_id: str, now: float) -> bool:
+        """Return whether the owner is unreachable or its bucket has not started."""
         holder = self._holder_by_org.get(org_id)
-        return holder is not None and holder.is_shut(now)
+        return holder is not None and holder.is_unavailable(now)
 
     def expected_wait_s(self, org_id: str, now: float) -> float:
-        """Return after which time a call that is offered now may hope for its token."""
+        """Return the expected wait for a token of a call offered now."""
         holder = self._holder_by_org.get(org_id)
         return 0.0 if holder is None else holder.expected_wait_s(now)
 
     def withdraw(self, org_id: str, call_id: str) -> None:
-        """Forget a waiting call whose caller has gone."""
+        """Remove a waiting call whose caller disconnected."""
         if org_id in self._holder_by_org:
             self._holder_by_org[org_id].withdraw(call_id)
 
     def tick(self, now: float) -> list[RateOutput]:
-        """Do what is due: give up calls, ask again, report spent slices."""
+        """Do what is due: refuse expired calls, repeat requests, report ended slices."""
         outputs: list[RateOutput] = []
         for org_id, holder in list(self._holder_by_org.items()):
-            if holder.asked_at is not None and now >= holder.asked_at + ASK_TIMEOUT_S:
-                holder.on_no_reply(holder.asked_at, now)
-            outputs.extend(self._pump(org_id, holder, now))
-            if holder.idle() and not holder.is_dry(now) and not holder.is_shut(now):
+            if holder.requested_at is not None and now >= holder.requested_at + REQUEST_TIMEOUT_S:
+                holder.on_no_reply(holder.requested_at, now)
+            outputs.extend(self._process(org_id, holder, now))
+            if holder.idle() and not holder.is_exhausted(now) and not holder.is_unavailable(now):
                 del self._holder_by_org[org_id]
         return outputs
 
@@ -220,51 +225,51 @@
         sent_at: float,
         now: float,
     ) -> list[RateOutput]:
-        """Take the reply of an entry to an `Ask`."""
+        """Process an entry's reply to an `Ask`."""
         holder = self._holder(org_id)
         holder.on_reply(reply, entry_id, sent_at, now)
-        return self._pump(org_id, holder, now)
+        return self._process(org_id, holder, now)
 
     def on_no_reply(self, org_id: str, sent_at: float, now: float) -> None:
-        """Note that an `Ask` will not be answered; what it was granted runs out by itself."""
+        """Record that an `Ask` will get no reply; tokens granted for it expire by themselves."""
         if org_id in self._holder_by_org:
             self._holder_by_org[org_id].on_no_reply(sent_at, now)
 
     def handle(
         self, message: TakeTokens | ReturnTokens | HandOver, now: float
     ) -> TokensGranted | NotOwner | None:
-        """Take a message of a peer as the owner of a bucket; return the reply, if it needs one."""
+        """Process a peer's message as the owner of a bucket; return the reply, if any."""
         match message:
             case TakeTokens():
-                return self._take(message, now)
+                return self._grant(message, now)
             case ReturnTokens():
-                self._owned.give_back(message, now)
+                self._owned_buckets.return_tokens(message, now)
                 return None
             case HandOver():
-                self._owned.adopt(message, now)
+                self._owned_buckets.accept_hand_over(message, now)
                 return None
 
-    def _take(self, message: TakeTokens, now: float) -> TokensGranted | NotOwner:
-        if message.view_epoch > self._epoch or now >= self._fresh_until:
+    def _grant(self, message: TakeTokens, now: float) -> TokensGranted | NotOwner:
+        if message.view_epoch > self._epoch or now >= self._lease_until:
             return NotOwner(self._epoch, int(MIN_PAUSE_S * 1000))
-        return self._owned.take(message, self._epoch, now)
+        return self._owned_buckets.grant(message, self._epoch, now)
 
-    def _pump(self, org_id: str, holder: Holder, now: float) -> list[RateOutput]:
+    def _process(self, org_id: str, holder: Holder, now: float) -> list[RateOutput]:
         outputs: list[RateOutput] = list(holder.serve(now))
-        outputs.extend(holder.give_up(now))
-        if holder.wants_to_ask(now):
-            outputs.extend(self._ask(org_id, holder, now))
+        outputs.extend(holder.reject_expired(now))
+        if holder.should_request(now):
+            outputs.extend(self._request_tokens(org_id, holder, now))
         if holder.report_at is not None and now >= holder.report_at:
             outputs.extend(self._report(org_id, holder, now))
         return outputs
 
-    def _ask(self, org_id: str, holder: Holder, now: float) -> list[RateOutput]:
+    def _request_tokens(self, org_id: str, holder: Holder, now: float) -> list[RateOutput]:
         owner = self._owners.owner(org_id)
         if owner is None:
-            holder.ask_after = now + MIN_PAUSE_S
+            holder.request_after = now + MIN_PAUSE_S
             return []
-        spent = [e for e in holder.ended if e.owner == owner and not e.unspent]
-        holder.ended = [e for e in holder.ended if e not in spent]
+        fully_spent = [e for e in holder.ended if e.owner == owner and not e.unspent]
+        holder.ended = [e for e in holder.ended if e not in fully_spent]
         if not holder.ended:
             holder.report_at = None
         message = TakeTokens(
@@ -272,15 +277,15 @@
             self._holder_id,
             float(len(holder.waiting)),
             self._epoch,
-            tuple(ended.slice_id for ended in spent),
+            tuple(ended.slice_id for ended in fully_spent),
             holder.patience_ms(now),
         )
-        holder.asked_at = now
+        holder.requested_at = now
         if owner != self.entry_id:
             return [Ask(owner, org_id, message, now)]
-        holder.on_reply(self._take(message, now), owner, now, now)
+        holder.on_reply(self._grant(message, now), owner, now, now)
         outputs: list[RateOutput] = list(holder.serve(now))
-        outputs.extend(holder.give_up(now))
+        outputs.extend(holder.reject_expired(now))
         return outputs
 
     def _report(self, org_id: str, holder: Holder, now: float) -> list[RateOutput]:
--- a/libs/decisions/tests/rate_load.py
+++ b/libs/decisions/tests/rate_load.py
@@ -1,4 +1,4 @@
-"""Load and trouble for the tests of the rate, and the judge of what was admitted."""
+"""Load and faults for the rate tests, and the check of what was admitted."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from hypothesis import strategies as st
 from tarragonhall_model import Rate
 
-# What the properties of the bound vary: the rate, and the trouble between the entries.
-TROUBLES = {
+# Hypothesis strategies for the bound: the rate, and the faults between the entries.
+RATES_AND_FAULTS = {
     "seed": st.integers(0, 2**32),
     "per_second": st.sampled_from([3.0, 20.0, 60.0]),
     "burst": st.sampled_from([1.0, 5.0, 40.0]),
@@ -32,7 +32,7 @@
 
 
 def offer_evenly(model, per_second: float, until: float, timeout_s: float = 20.0) -> int:
-    """Let callers send through a random entry each time, evenly in time; return how many."""
+    """Send calls at even intervals, each through a random entry; return their number."""
     rng = random.Random(model.seed)
     count = round((until - model.now) * per_second)
     start = model.now
@@ -46,8 +46,8 @@
     return count
 
 
-def stir(model, until: float) -> None:
-    """Pause, cut and replace entries at random."""
+def inject_faults(model, until: float) -> None:
+    """Pause, isolate and replace entries at random."""
     rng = random.Random(model.seed + 1)
     at = model.now
     while at < until:
@@ -57,14 +57,14 @@
         if chance < model.faults.pause:
             length = rng.choice([0.1, 0.6, 1.5, 4.0])
             model.at(at, lambda e=entry, t=at + length: model.paused_until.update({e: t}))
-        elif chance < model.faults.pause + model.faults.cut:
+        elif chance < model.faults.pause + model.faults.isolated:
             length = rng.choice([0.5, 2.5, 6.0])
-            model.at(at, lambda e=entry: model.cut.add(e))
-            model.at(at + length, lambda e=entry: model.cut.discard(e))
-        elif chance < model.faults.pause + model.faults.cut + model.faults.views:
+            model.at(at, lambda e=entry: model.isolated.add(e))
+            model.at(at + length, lambda e=entry: model.isolated.discard(e))
+        elif chance < model.faults.pause + model.faults.isolated + model.faults.views:
             members = [e for e in model.entry_ids if rng.random() < 0.6] or [entry]
             model.at(at, lambda m=members: model.set_entries(m))
             if rng.random() < 0.5:
-                # A second change right after the first: some entries never see the one between.
+                # A second change soon after the first: some entries never see the view between.
                 again = [e for e in model.entry_ids if rng.random() < 0.6] or [entry]
                 model.at(at + rng.uniform(0.0, 2.0), lambda m=again: model.set_entries(m))
--- a/libs/decisions/tests/rate_reserve_tests.py
+++ b/libs/decisions/tests/rate_reserve_tests.py
@@ -1,4 +1,4 @@
-"""Calls admitted while the owner of their bucket is not heard."""
+"""Calls admitted while the owner of their bucket is unreachable."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 
 
 def reserve(entries: int) -> RateReserve:
-    made = RateReserve(SLACK)
-    made.entries = entries
-    return made
+    created = RateReserve(SLACK)
+    created.entries = entries
+    return created
 
 
-def test_a_failover_of_two_seconds_refuses_nobody_inside_the_rate():
-    # The leader of control dies and no entry gets tokens for two seconds. Each of nine entries sees
-    # three calls a second of the organisation.
-    made = reserve(9)
-    assert all(made.take("org", RATE, number / 3) for number in range(6))
+def test_failover_of_two_seconds_refuses_no_call_within_the_rate():
+    # The leader of control dies and no entry gets tokens for two seconds. Each of nine entries
+    # receives three calls a second of the organisation.
+    created = reserve(9)
+    assert all(created.take("org", RATE, number / 3) for number in range(6))
 
 
 def test_a_long_outage_admits_no_more_than_its_share_of_each_window():
-    made = reserve(9)
-    admitted = [now for now in range(1, 2_000) if made.take("org", RATE, now / 100)]
-    allowed = made.allowed(RATE)
+    created = reserve(9)
+    admitted = [now for now in range(1, 2_000) if created.take("org", RATE, now / 100)]
+    allowed = created.allowed(RATE)
     for start in range(0, 2_000, 10):
         assert sum(1 for now in admitted if start <= now <= start + 500) <= allowed
 
@@ -38,7 +38,7 @@
 
 @given(st.integers(1, 40), st.floats(0.1, 500), st.floats(0, 500))
 def test_all_entries_together_stay_within_the_slack(entries, per_second, burst):
-    # Every entry is cut off at once and uses all it may.
+    # Every entry is disconnected at once and uses its whole reserve.
     rate = Rate(per_second, burst)
     total = entries * reserve(entries).allowed(rate)
     assert total <= 0.1 * (per_second * 5 + burst) + 20
--- a/libs/decisions/tests/rate_tests.py
+++ b/libs/decisions/tests/rate_tests.py
@@ -5,7 +5,7 @@
 import random
 
 from hypothesis import HealthCheck, example, given, settings
-from rate_load import TROUBLES, offer_evenly, stir, worst_excess
+from rate_load import RATES_AND_FAULTS, inject_faults, offer_evenly, worst_excess
 from tarragonhall_model import Rate, RefusalCode, rendezvous
 
 ORG = "org-1"
@@ -13,27 +13,27 @@
 
 
 @settings(max_examples=25, deadline=None, suppress_health_check=list(HealthCheck))
-@given(**TROUBLES)
+@given(**RATES_AND_FAULTS)
 @example(seed=1, per_second=20.0, burst=5.0, loss=0.3, slow=0.8, max_delay_s=5.0, views=0.6)
 def test_no_window_sees_more_than_rate_and_burst(
     rate_model, faults, seed, per_second, burst, loss, slow, max_delay_s, views
 ):
-    """Entries are paused, cut off from control and replaced while messages between them are lost
-    or arrive seconds late. Were tokens granted twice, a tenant would get more than it pays for and
-    crowd out the others.
+    """Entries are paused, isolated from control and replaced while messages between them are lost
+    or arrive seconds late. If tokens were granted twice, an organisation would exceed its rate and
+    take capacity from the others.
     """
     rate = Rate(per_second, burst)
-    bad = faults(loss, slow, max_delay_s, pause=0.2, cut=0.2, views=views)
-    model = rate_model(rate, 4, seed, bad)
+    fault_mix = faults(loss, slow, max_delay_s, pause=0.2, isolated=0.2, views=views)
+    model = rate_model(rate, 4, seed, fault_mix)
     offer_evenly(model, per_second * 2 + 4, 18.0, timeout_s=8.0)
-    stir(model, 18.0)
+    inject_faults(model, 18.0)
     model.run(28.0)
     assert worst_excess(model.admitted_at, rate) <= 1e-6
 
 
 def test_many_entries_share_few_tokens(rate_model):
-    """A tenant of two calls a second sends each call through another one of twenty entries. With
-    its rate split by entry nearly every call would be refused although the tenant keeps its rate.
+    """An organisation of two calls a second sends each call through another one of twenty entries.
+    With its rate split by entry, nearly every call would be refused although it keeps to its rate.
     """
     rate = Rate(2.0, 2.0)
     model = rate_model(rate, 20)
@@ -64,8 +64,8 @@
 
 
 def test_whole_burst_is_admitted_at_once(rate_model):
-    """A tenant that was quiet sends its whole burst within a moment; each call is inside what it
-    pays for and must neither be refused nor wait noticeably.
+    """An idle organisation sends its whole burst at once; each call is within its rate and must
+    neither be refused nor wait noticeably.
     """
     rate = Rate(10.0, 50.0)
     model = rate_model(rate, 5)
@@ -77,9 +77,9 @@
     assert not model.refused
 
 
-def test_tenant_at_ten_times_its_rate_gets_its_rate(rate_model):
-    """A tenant sends ten times its rate through every entry. It gets its rate and no less; the rest
-    is refused at once with a time to come back, rather than held until the callers lose patience.
+def test_organisation_at_ten_times_its_rate_gets_its_rate(rate_model):
+    """An organisation sends ten times its rate through every entry. It gets its rate and no less;
+    the rest is refused at once with a retry time instead of being queued until it times out.
     """
     rate = Rate(20.0, 20.0)
     model = rate_model(rate, 6)
@@ -97,8 +97,8 @@
 
 
 def test_owner_dies_and_calls_wait_it_out(rate_model):
-    """The entry that owns a tenant's bucket is killed. Callers of the tenant wait until its last
-    grants have surely ended, and are then served; none inside the rate is refused.
+    """The entry that owns an organisation's bucket is killed. The organisation's callers wait until
+    its last grants have certainly expired, and are then served; none within the rate is refused.
     """
     rate = Rate(10.0, 10.0)
     model = rate_model(rate, 4)
@@ -115,8 +115,8 @@
 
 
 def test_leaving_owner_hands_its_bucket_over(rate_model):
-    """Entries are restarted one after the other. A caller inside its rate notices nothing: the
-    owner that leaves tells the next one how many tokens are left.
+    """Entries are restarted one after the other. A caller within its rate notices nothing: the
+    owner that leaves sends the next one the number of tokens left.
     """
     rate = Rate(10.0, 10.0)
     model = rate_model(rate, 4)
@@ -132,9 +132,9 @@
     assert max(model.waits) < 0.2
 
 
-def test_programs_under_way_come_first(rate_model):
-    """A tenant over its rate has programs under way and starts more. Were its calls served in the
-    order of arrival, every program would wait at every turn and hardly any would finish.
+def test_started_programs_come_first(rate_model):
+    """An organisation over its rate has started programs and starts more. In order of arrival,
+    every program would wait at every turn and hardly any would finish.
     """
     rate = Rate(5.0, 1.0)
     model = rate_model(rate, 1)
--- a/libs/rates/tarragonhall_rates/__init__.py
+++ b/libs/rates/tarragonhall_rates/__init__.py
@@ -1,4 +1,4 @@
-"""Rate and burst of organisations over all entries together, as one entry takes part in them."""
+"""Rate and burst of organisations over all entries together: the part of one entry."""
 
 from __future__ import annotations
 
