--- a/libs/relay/tarragonhall_relay/__init__.py
+++ b/libs/relay/tarragonhall_relay/__init__.py
@@ -1,4 +1,4 @@
-"""The relay role: passes calls on to backend servers as they are, and keeps turns of programs."""
+"""The relay role: forwards calls to backend servers unchanged and stores turns of programs."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     dialect: Dialect,
     listener: GreenSocket | None = None,
 ) -> RelayRole:
-    """Serve clients until drained, on a socket that listens already where there is one."""
+    """Start a relay and return it; `listener` is a socket that listens already, if there is one."""
     role = RelayRole(settings, context, control, dialect, listener)
     role.start()
     return role
--- a/libs/relay/tarragonhall_relay/_admission.py
+++ b/libs/relay/tarragonhall_relay/_admission.py
@@ -1,6 +1,6 @@
-"""Whether a call may run: its route, its organisation, its crashes so far and its rate.
+"""Admission of calls: route, organisation, home regions, crashes so far and rate.
 
-Every refusal here is final and true: nothing of the call has left this process.
+A rejection made here proves that the call did not run: no byte of it has left this process.
 """
 
 from __future__ import annotations
@@ -24,29 +24,29 @@
 
 log = structlog.get_logger(__name__)
 
-# Until the first document, or while control is not heard, a wrong "no such route" or "no such key"
-# would end a program for good; the client is better off coming back.
-UNSURE_RETRY_S = 0.6
+# Before the first relay document, or while control is unreachable, a wrong 404 or 401 would end a
+# program for good, so the client is asked to retry instead.
+STALE_CONFIG_RETRY_S = 0.6
 STATUS_BY_CODE = {
     RefusalCode.RATE_EXCEEDED: 429,
 }
-UNAVAILABLE = 503
-# An organisation over its rate must not start programs that it can't finish: each needs about ten
-# calls more, and every one of them that is refused ends its program. About a turn's time, after
-# which some of those under way have ended.
-START_RETRY_S = 0.7
-# The owner of a rate that is not heard is followed by another within two seconds. Told to come back
-# after 20 ms, as for a bucket that refills, a caller uses up its tries before that.
-OWNER_RETRY_S = 0.5
-# What binds calls to their home regions changes with operators' orders alone.
-HOME_RETRY_S = 5.0
-# A request that crashes servers is not to come back soon.
-BARRED_RETRY_S = 60.0
+STATUS_UNAVAILABLE = 503
+# An organisation over its rate must not start programs that it cannot finish: each needs about ten
+# more calls, and any of them that is rejected ends its program. The delay is about the length of
+# one turn, after which some of the running programs have ended.
+NEW_PROGRAM_RETRY_S = 0.7
+# An unreachable owner of a rate is replaced within two seconds. With the 20 ms that suit a bucket
+# that refills, a caller would use up its attempts before that.
+RATE_OWNER_RETRY_S = 0.5
+# Only an operator's command can change where calls bound to home regions may run.
+HOME_REGION_RETRY_S = 5.0
+# A request that crashes servers must not return soon.
+QUARANTINED_RETRY_S = 60.0
 
 
 @dataclass(slots=True, frozen=True)
-class Refused:
-    """The answer to a call that did not run. `retry_after_s` says when to come back."""
+class Rejection:
+    """The response to a call that did not run; `retry_after_s` becomes its Retry-After header."""
 
     status: int
     error: str
@@ -55,10 +55,10 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Admitted:
+class AdmittedCall:
     """A call that may run; `deadline` is in monotonic seconds.
 
-    `home_zones` are the only availability zones where it may run, None for any.
+    `home_zones` are the only availability zones where it may run; None means any.
     """
 
     request: ClientRequest
@@ -75,63 +75,67 @@
         return self.organisation.org_id if self.organisation is not None else None
 
     @property
-    def begins_program(self) -> bool:
-        """Return whether the call is the first of its conversation, with nothing done yet."""
+    def starts_program(self) -> bool:
+        """Return whether the call is the first turn of its conversation."""
         return self.route.retained and self.facts.previous_turn is None
 
 
-def admit(state: RelayState, request: ClientRequest, arrived_at: float) -> Admitted | Refused:
-    """Find out whether a call may run, short of its rate."""
+def admit(state: RelayState, request: ClientRequest, arrived_at: float) -> AdmittedCall | Rejection:
+    """Check everything that a call needs in order to run, except its rate."""
     table = state.table
     if table is None:
-        return _unsure("no configuration has arrived yet")
+        return _stale_config("no relay configuration has been received yet")
     try:
         facts = state.dialect.read_call(request.headers)
     except InputError as error:
-        return Refused(400, "bad_input", str(error))
+        return Rejection(400, "bad_input", str(error))
     route = table.match(request.host, request.path)
     if route is None:
         if not state.is_fresh():
-            return _unsure("whether the route exists cannot be told right now")
-        return Refused(404, "not_found", f"no route for {request.host}{request.path}")
+            return _stale_config("the configuration is stale: cannot tell whether the route exists")
+        return Rejection(404, "not_found", f"no route for {request.host}{request.path}")
     organisation = table.organisation_by_key.get(facts.key or "")
     if table.needs_key(route) and organisation is None:
         if not state.is_fresh():
-            return _unsure("whether the key is valid cannot be told right now")
-        return Refused(401, "unauthenticated", "the key is unknown")
+            return _stale_config("the configuration is stale: cannot tell whether the key is valid")
+        return Rejection(401, "unauthenticated", "the key is unknown")
     if not table.needs_key(route):
         organisation = None
     limit_ms = route.timeout_ms
     if facts.deadline_ms is not None:
         limit_ms = min(limit_ms, facts.deadline_ms)
     deadline = Deadline(arrived_at + limit_ms / 1000)
-    mark = _fingerprint(request, organisation)
-    if state.suspects.is_barred(mark, state.monotonic()):
-        message = "the request broke every backend server that ran it"
-        return Refused(UNAVAILABLE, RefusalCode.QUARANTINED.value, message, BARRED_RETRY_S)
+    request_fingerprint = _fingerprint(request, organisation)
+    if state.crash_suspects.is_barred(request_fingerprint, state.monotonic()):
+        message = "the request crashed every backend server that ran it"
+        return Rejection(
+            STATUS_UNAVAILABLE, RefusalCode.QUARANTINED.value, message, QUARANTINED_RETRY_S
+        )
     org_regions = organisation.home_regions if organisation is not None else ()
     homes = home_zones(route.home_regions, org_regions, state.region_by_zone)
-    if homes is not None and not _may_be_kept(state, route, homes):
-        return _away_from_home("no store keeps turns in the home regions of the call alone")
-    return Admitted(request, facts, route, organisation, deadline, mark, homes)
+    if homes is not None and not _can_store_at_home(state, route, homes):
+        return _home_region_rejection("turns cannot be stored only in the home regions of the call")
+    return AdmittedCall(request, facts, route, organisation, deadline, request_fingerprint, homes)
 
 
-def take_rate(state: RelayState, call: Admitted, service: str) -> Refused | None:
-    """Wait for a token of the organisation's rate; return the refusal where there is none.
+def take_rate_token(state: RelayState, call: AdmittedCall, service: str) -> Rejection | None:
+    """Wait for a token of the organisation's rate; return a rejection if none comes in time.
 
-    `service` is the one that is to run the call.
+    `service` is the service that is to run the call.
     """
     if call.organisation is None or call.organisation.rate is None:
         return None
-    starts = call.begins_program
-    if starts and state.rates.is_dry(call.organisation.org_id):
-        message = "the organisation is over its rate; programs under way go first"
-        return Refused(429, RefusalCode.RATE_EXCEEDED.value, message, START_RETRY_S)
-    under_way = bool(call.facts.program_id) and not starts
-    # The client chooses the attempt's id and could use one twice at once.
+    starts_program = call.starts_program
+    if starts_program and state.rates.is_dry(call.organisation.org_id):
+        message = "the organisation is over its rate; running programs go first"
+        return Rejection(429, RefusalCode.RATE_EXCEEDED.value, message, NEW_PROGRAM_RETRY_S)
+    program_started = bool(call.facts.program_id) and not starts_program
+    # Clients choose attempt ids, and two calls at a time could carry the same one.
     call_id = f"{call.facts.attempt_id}/{id(call)}"
     run_s = state.chooser.pace(service).run_of_s(call.route.name)
-    refusal = state.rates.take(call.organisation.org_id, call_id, call.deadline, under_way, run_s)
+    refusal = state.rates.take(
+        call.organisation.org_id, call_id, call.deadline, program_started, run_s
+    )
     if refusal is not None:
         log.info(
             "rate.refused",
@@ -141,42 +145,42 @@
             owner=state.rates.owner_of(call.organisation.org_id),
             retry_after_ms=refusal.retry_after_ms,
         )
-    return None if refusal is None else refused_for(refusal)
+    return None if refusal is None else rejection_for(refusal)
 
 
-def give_back_rate(state: RelayState, call: Admitted) -> None:
-    """Return the token of a call that surely did not run: a rate limits what runs."""
+def return_rate_token(state: RelayState, call: AdmittedCall) -> None:
+    """Return the token of a call that certainly did not run: a rate limits calls that run."""
     if call.organisation is not None and call.organisation.rate is not None:
         state.rates.give_back(call.organisation.org_id)
 
 
-def refused_for(refusal: Refusal) -> Refused:
-    """Return the answer that tells a client of a refusal."""
-    status = STATUS_BY_CODE.get(refusal.code, UNAVAILABLE)
+def rejection_for(refusal: Refusal) -> Rejection:
+    """Return the response that reports a refusal to the client."""
+    status = STATUS_BY_CODE.get(refusal.code, STATUS_UNAVAILABLE)
     retry_after_s = None
     if refusal.retry_after_ms is not None:
         retry_after_s = refusal.retry_after_ms / 1000
     if refusal.code is RefusalCode.UNAVAILABLE:
-        retry_after_s = max(retry_after_s or 0.0, OWNER_RETRY_S)
-    return Refused(status, refusal.code.value, refusal.message, retry_after_s)
+        retry_after_s = max(retry_after_s or 0.0, RATE_OWNER_RETRY_S)
+    return Rejection(status, refusal.code.value, refusal.message, retry_after_s)
 
 
-def _may_be_kept(state: RelayState, route: Route, homes: frozenset[str]) -> bool:
-    """Return whether stores keep what is said on a route in its home regions alone."""
+def _can_store_at_home(state: RelayState, route: Route, homes: frozenset[str]) -> bool:
+    """Return whether the turns of a route are stored in its home regions only."""
     if not route.retained:
         return True
     return stays_home(state.store_zones(), homes, state.availability_zone, state.region_by_zone)
 
 
-def _away_from_home(message: str) -> Refused:
-    return Refused(UNAVAILABLE, RefusalCode.NO_SERVER.value, message, HOME_RETRY_S)
+def _home_region_rejection(message: str) -> Rejection:
+    return Rejection(STATUS_UNAVAILABLE, RefusalCode.NO_SERVER.value, message, HOME_REGION_RETRY_S)
 
 
-def _unsure(message: str) -> Refused:
-    return Refused(UNAVAILABLE, RefusalCode.STALE.value, message, UNSURE_RETRY_S)
+def _stale_config(message: str) -> Rejection:
+    return Rejection(STATUS_UNAVAILABLE, RefusalCode.STALE.value, message, STALE_CONFIG_RETRY_S)
 
 
 def _fingerprint(request: ClientRequest, organisation: RelayOrganisation | None) -> str:
-    """Return what stays the same when a client sends a request again as a new attempt."""
+    """Return a hash that is the same for every attempt at one request."""
     org_id = organisation.org_id if organisation is not None else ""
     return fingerprint(org_id, request.method, request.target, request.body)
--- a/libs/relay/tarragonhall_relay/_attempt.py
+++ b/libs/relay/tarragonhall_relay/_attempt.py
@@ -1,4 +1,4 @@
-"""One try at running a call on one backend server, and what is known of it afterwards."""
+"""One attempt to run a call on one backend server, and what its outcome proves."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 import structlog
 from tarragonhall_model import BackendRecord, CallType
 
-from tarragonhall_relay._admission import Admitted
-from tarragonhall_relay._backend import MAX_EXTRA_ANSWERS, BackendConnection
+from tarragonhall_relay._admission import AdmittedCall
+from tarragonhall_relay._backend import MAX_EXTRA_RESPONSES, BackendConnection
 from tarragonhall_relay._client import HOP_HEADERS
 from tarragonhall_relay._dialect import AnswerFacts, DispatchFacts, Headers
-from tarragonhall_relay._errors import BackendError, SilentServerError
+from tarragonhall_relay._errors import AnswerTimeoutError, BackendError
 from tarragonhall_relay._state import RelayState
 
 log = structlog.get_logger(__name__)
 
-MAX_ANSWER_BYTES = 16 * 1024 * 1024
-# These promise the client that the call did not run. A backend server's own, without its mark that
-# it did not execute the call, promises nothing and must not be passed on as such a promise.
-PROMISING = frozenset({408, 421, 429, 503})
-MISDIRECTED = 421
+MAX_RESPONSE_BYTES = 16 * 1024 * 1024
+# Clients take these statuses as proof that the call did not run. A backend server's response with
+# one of them but without the not-executed header proves nothing, so it is not relayed.
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
+STATUS_MISDIRECTED = 421
 
 
 @dataclass(slots=True, frozen=True)
 class NotRun:
-    """The call certainly did not run on this server and never will."""
+    """The call did not run on this server and never will; `full` if the server has no capacity."""
 
     reason: str
     full: bool = False
@@ -34,18 +34,18 @@
 
 @dataclass(slots=True, frozen=True)
 class MayHaveRun:
-    """The call may have run on this server, and no answer came that can be passed on.
+    """The call may have run on this server, and there is no response that can be relayed.
 
-    `silent` says that the server was not waited for any longer; it may be well, and so the call.
+    `timed_out` means that the relay stopped waiting; this is no evidence of a fault in the call.
     """
 
     reason: str
-    silent: bool = False
+    timed_out: bool = False
 
 
 @dataclass(slots=True, frozen=True)
-class WholeAnswer:
-    """The server's whole answer."""
+class CompleteResponse:
+    """The server's response, read to its end."""
 
     status: int
     headers: Headers
@@ -54,7 +54,7 @@
 
 @dataclass(slots=True, frozen=True)
 class OpenStream:
-    """The server has begun a stream of events; the rest is read from the connection."""
+    """The head of a stream of events; the events are still to be read from the connection."""
 
     status: int
     headers: Headers
@@ -62,54 +62,56 @@
     facts: AnswerFacts
 
 
-Outcome = NotRun | MayHaveRun | WholeAnswer | OpenStream
+Outcome = NotRun | MayHaveRun | CompleteResponse | OpenStream
 
 
 def try_server(
     state: RelayState,
-    call: Admitted,
+    call: AdmittedCall,
     server: BackendRecord,
     body: bytes,
     urgency: int | None,
-    patience_s: float | None = None,
+    answer_timeout_s: float | None = None,
 ) -> Outcome:
-    """Send a call to a server and read its answer, or the head of its stream.
+    """Send a call to a server and read its response, or the head of its stream.
 
-    `patience_s` is for how long an answer is waited for; None waits until the call's time is over.
-    The connection is closed unless the outcome is an open stream or the answer came whole.
+    `answer_timeout_s` bounds the wait for the response; None waits until the call's deadline. The
+    connection is closed unless the outcome is an open stream or the response was read to its end.
     """
     try:
-        connection = state.pool.take(server)
+        connection = state.pool.acquire(server)
     except BackendError as error:
-        state.pool.drop(server.server_id)
+        state.pool.close_idle(server.server_id)
         return NotRun(str(error))
-    kept = False
+    keep_open = False
     try:
         _send(state, call, server, body, urgency, connection)
-        silence = SilentServerError(patience_s) if patience_s is not None else None
-        with eventlet.Timeout(patience_s, silence):
-            outcome, facts = _read_answer(state, call, connection)
+        timeout_error = (
+            AnswerTimeoutError(answer_timeout_s) if answer_timeout_s is not None else None
+        )
+        with eventlet.Timeout(answer_timeout_s, timeout_error):
+            outcome, facts = _read_response(state, call, connection)
         if isinstance(outcome, OpenStream):
-            kept = True
-        elif isinstance(outcome, WholeAnswer | NotRun):
-            kept = True
-            state.pool.put(connection, facts.keep_alive_s)
+            keep_open = True
+        elif isinstance(outcome, CompleteResponse | NotRun):
+            keep_open = True
+            state.pool.release(connection, facts.keep_alive_s)
         return outcome
-    except SilentServerError as error:
-        return MayHaveRun(str(error), silent=True)
+    except AnswerTimeoutError as error:
+        return MayHaveRun(str(error), timed_out=True)
     except BackendError as error:
         if not error.sent:
             return NotRun(str(error))
-        reused = "reused" if connection.used else "new"
+        reused = "reused" if connection.reused else "new"
         return MayHaveRun(f"{error} ({reused} connection)")
     finally:
-        if not kept:
+        if not keep_open:
             connection.close()
 
 
 def _send(
     state: RelayState,
-    call: Admitted,
+    call: AdmittedCall,
     server: BackendRecord,
     body: bytes,
     urgency: int | None,
@@ -121,30 +123,30 @@
     connection.send(call.request.method, call.request.target, headers, body)
 
 
-def _read_answer(
-    state: RelayState, call: Admitted, connection: BackendConnection
+def _read_response(
+    state: RelayState, call: AdmittedCall, connection: BackendConnection
 ) -> tuple[Outcome, AnswerFacts]:
-    head, facts = _own_head(state, call, connection)
+    head, facts = _read_own_head(state, call, connection)
     headers = [(name, value) for name, value in head.headers if name not in HOP_HEADERS]
     status = head.status_code
-    if facts.not_executed or status == MISDIRECTED:
-        connection.read_all(MAX_ANSWER_BYTES)
-        full = status != MISDIRECTED
-        return NotRun(f"the server answered {status}", full=full), facts
+    if facts.not_executed or status == STATUS_MISDIRECTED:
+        connection.read_all(MAX_RESPONSE_BYTES)
+        full = status != STATUS_MISDIRECTED
+        return NotRun(f"the server responded {status}", full=full), facts
     success = 200 <= status < 300
     if success and not facts.signed:
-        raise BackendError(f"the answer {status} bears no proof of origin", sent=True)
-    if status in PROMISING:
-        raise BackendError(f"the answer {status} does not say that the call did not run", sent=True)
+        raise BackendError(f"the {status} response has no proof of origin", sent=True)
+    if status in NOT_RUN_STATUSES:
+        raise BackendError(f"the {status} response has no not-executed header", sent=True)
     if success and call.route.call_type is CallType.STREAMING:
         return OpenStream(status, headers, connection, facts), facts
-    body = connection.read_all(MAX_ANSWER_BYTES)
-    return WholeAnswer(status, headers, body), facts
+    body = connection.read_all(MAX_RESPONSE_BYTES)
+    return CompleteResponse(status, headers, body), facts
 
 
-def _own_head(state: RelayState, call: Admitted, connection: BackendConnection):
-    """Return the head of this call's own answer, past any that belong to other calls."""
-    for _ in range(MAX_EXTRA_ANSWERS):
+def _read_own_head(state: RelayState, call: AdmittedCall, connection: BackendConnection):
+    """Return the head of this call's own response, skipping those of other calls."""
+    for _ in range(MAX_EXTRA_RESPONSES):
         head = connection.read_head()
         facts = state.dialect.read_answer(list(head.headers))
         if facts.attempt_id in (None, call.facts.attempt_id):
@@ -156,5 +158,5 @@
             answers=facts.attempt_id,
             status=head.status_code,
         )
-        connection.skip_answer(MAX_ANSWER_BYTES)
-    raise BackendError("only answers to other calls arrived", sent=True)
+        connection.skip_response(MAX_RESPONSE_BYTES)
+    raise BackendError("only responses to other calls arrived", sent=True)
--- a/libs/relay/tarragonhall_relay/_backend.py
+++ b/libs/relay/tarragonhall_relay/_backend.py
@@ -1,4 +1,4 @@
-"""Connections to backend servers: one call at a time on each, kept open between calls."""
+"""Connections to backend servers, reused from call to call, with one call at a time on each."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 
 from tarragonhall_relay._dialect import Headers
 from tarragonhall_relay._errors import BackendError
-from tarragonhall_relay._sockets import is_quiet, set_options
+from tarragonhall_relay._sockets import is_open_and_idle, set_options
 
 READ_BYTES = 64 * 1024
 MAX_HEAD_BYTES = 64 * 1024
-# Several round trips between availability zones; a server that does not accept by then is down or
-# cut off, and another one can still be tried in time.
-CONNECT_S = 0.4
-# Servers close idle connections after a time of their own, in whole seconds. A call sent at that
-# moment is lost without a word whether it ran, so connections are given up well before.
-DEFAULT_KEEP_S = 1.5
-KEEP_SHARE = 0.7
-MOST_KEEP_S = 10.0
-IDLE_PER_SERVER = 12
+# Several round trips between availability zones. A server that has not accepted by then is down or
+# unreachable, and there is still time to try another one.
+CONNECT_TIMEOUT_S = 0.4
+# Servers close idle connections after a timeout of their own, in whole seconds. Whether a call
+# sent at that moment ran cannot be known, so connections are closed well before.
+DEFAULT_KEEP_ALIVE_S = 1.5
+KEEP_ALIVE_FRACTION = 0.7
+MAX_KEEP_ALIVE_S = 10.0
+MAX_IDLE_PER_SERVER = 12
 REQUEST_KIND = "server.request"
-ANSWER_KIND = "server.answer"
-# A server that sends one answer too many sends one; more than this and the connection is worthless.
-MAX_EXTRA_ANSWERS = 3
+RESPONSE_KIND = "server.answer"
+# Responses to other calls that are skipped before a connection counts as broken.
+MAX_EXTRA_RESPONSES = 3
 
 
 class BackendConnection:
@@ -41,8 +41,8 @@
         "_request",
         "_traffic",
         "_zone",
+        "reused",
         "server_id",
-        "used",
         "usable_until",
     )
 
@@ -53,11 +53,11 @@
         self._http = _new_http()
         self._request: h11.Request | None = None
         self.server_id = record.server_id
-        self.used = False
+        self.reused = False
         self.usable_until = 0.0
 
     def send(self, method: str, target: bytes, headers: Headers, body: bytes) -> None:
-        """Send a call; raise `BackendError`."""
+        """Send a call; raise `BackendError` if the connection fails."""
         framing: Headers = []
         if body or method in ("POST", "PUT", "PATCH"):
             framing = [(b"content-length", str(len(body)).encode())]
@@ -73,26 +73,26 @@
             raise BackendError(f"cannot send: {error}", sent=True) from error
 
     def read_head(self) -> h11.Response:
-        """Return the head of the next answer; raise `BackendError`."""
+        """Return the head of the next response; raise `BackendError` if none comes."""
         while True:
             event = self._next_event()
             if isinstance(event, h11.Response):
                 return event
             if isinstance(event, h11.InformationalResponse):
                 continue
-            raise BackendError("closed without an answer", sent=True)
+            raise BackendError("closed without a response", sent=True)
 
     def read(self) -> bytes | None:
-        """Return the next bytes of the answer's body, None at its end; raise `BackendError`."""
+        """Return the next bytes of the body, None at its end; raise `BackendError` if it is cut."""
         event = self._next_event()
         if isinstance(event, h11.Data):
             return bytes(event.data)
         if isinstance(event, h11.EndOfMessage):
             return None
-        raise BackendError("closed in the middle of its answer", sent=True)
+        raise BackendError("closed in the middle of its response", sent=True)
 
     def read_all(self, limit: int) -> bytes:
-        """Return the whole body; raise `BackendError` where it is longer than `limit`."""
+        """Return the whole body; raise `BackendError` if it is longer than `limit` bytes."""
         parts = []
         size = 0
         while True:
@@ -102,13 +102,13 @@
             parts.append(data)
             size += len(data)
             if size > limit:
-                raise BackendError(f"the answer is over {limit} bytes", sent=True)
+                raise BackendError(f"the response is over {limit} bytes", sent=True)
 
-    def skip_answer(self, limit: int) -> None:
-        """Drop an answer that belongs to another call and make ready to read the next one.
+    def skip_response(self, limit: int) -> None:
+        """Discard a response that belongs to another call and prepare to read the next one.
 
-        A server may send an answer twice or late, where the next one is expected. The call at hand
-        is under way all the same, and its own answer follows.
+        A server may send a response twice or late, where the next one is expected. The current call
+        is still in flight, and its own response follows.
         """
         self.read_all(limit)
         trailing, closed = self._http.trailing_data
@@ -121,7 +121,7 @@
             self._http.receive_data(b"")
 
     def is_reusable(self) -> bool:
-        """Return whether another call may be sent after the answer was read to its end."""
+        """Return whether another call may be sent after the response was read to its end."""
         if self._http.our_state is not h11.DONE or self._http.their_state is not h11.DONE:
             return False
         if self._http.trailing_data[0]:
@@ -129,12 +129,12 @@
         self._http.start_next_cycle()
         return True
 
-    def is_quiet(self) -> bool:
-        """Return whether the connection is open and nothing unasked for has arrived."""
-        return is_quiet(self._connection)
+    def is_open_and_idle(self) -> bool:
+        """Return whether the connection is open and has no unread bytes."""
+        return is_open_and_idle(self._connection)
 
     def close(self) -> None:
-        """Close the connection; a server drops the call that it still works on."""
+        """Close the connection; a server cancels a call that it is still running."""
         with contextlib.suppress(OSError):
             self._connection.shutdown(socket.SHUT_RDWR)
         self._connection.close()
@@ -146,16 +146,16 @@
                 if event is not h11.NEED_DATA:
                     return event
                 received = self._connection.recv(READ_BYTES)
-                self._traffic.count(ANSWER_KIND, len(received), self._zone)
+                self._traffic.count(RESPONSE_KIND, len(received), self._zone)
                 self._http.receive_data(received)
         except OSError as error:
-            raise BackendError(f"broke off: {error}", sent=True) from error
+            raise BackendError(f"the connection failed: {error}", sent=True) from error
         except h11.RemoteProtocolError as error:
-            raise BackendError(f"sent what is no answer: {error}", sent=True) from error
+            raise BackendError(f"sent an invalid response: {error}", sent=True) from error
 
 
 class BackendPool:
-    """The idle connections of one entry, newest first."""
+    """The idle connections of one entry; the one used last is reused first."""
 
     __slots__ = ("_idle_by_server", "_traffic")
 
@@ -163,54 +163,56 @@
         self._traffic = traffic
         self._idle_by_server: dict[str, list[BackendConnection]] = {}
 
-    def take(self, record: BackendRecord) -> BackendConnection:
-        """Return a connection to a server, a new one where no idle one is sound.
+    def acquire(self, record: BackendRecord) -> BackendConnection:
+        """Return an idle connection to a server, or a new one if none is usable.
 
-        Raises `BackendError` with `sent` false where it cannot be opened.
+        Raises `BackendError` with `sent` false if it cannot be opened.
         """
         idle = self._idle_by_server.get(record.server_id, [])
         while idle:
-            found = idle.pop()
-            if time.monotonic() < found.usable_until and found.is_quiet():
-                found.used = True
-                return found
-            found.close()
+            connection = idle.pop()
+            if time.monotonic() < connection.usable_until and connection.is_open_and_idle():
+                connection.reused = True
+                return connection
+            connection.close()
         return self._open(record)
 
-    def put(self, connection: BackendConnection, keep_alive_s: float | None) -> None:
-        """Keep a connection whose answer was read to its end, or close it."""
+    def release(self, connection: BackendConnection, keep_alive_s: float | None) -> None:
+        """Make a connection available for reuse, or close it if it cannot be reused."""
         idle = self._idle_by_server.setdefault(connection.server_id, [])
-        if len(idle) >= IDLE_PER_SERVER or not connection.is_reusable():
+        if len(idle) >= MAX_IDLE_PER_SERVER or not connection.is_reusable():
             connection.close()
             return
-        keep_s = DEFAULT_KEEP_S if keep_alive_s is None else keep_alive_s * KEEP_SHARE
-        connection.usable_until = time.monotonic() + min(keep_s, MOST_KEEP_S)
+        keep_s = (
+            DEFAULT_KEEP_ALIVE_S if keep_alive_s is None else keep_alive_s * KEEP_ALIVE_FRACTION
+        )
+        connection.usable_until = time.monotonic() + min(keep_s, MAX_KEEP_ALIVE_S)
         idle.append(connection)
 
-    def sweep(self) -> None:
-        """Close what was idle for too long."""
+    def close_expired(self) -> None:
+        """Close the connections whose idle time is over."""
         now = time.monotonic()
         for server_id, idle in list(self._idle_by_server.items()):
-            kept = [one for one in idle if now < one.usable_until]
-            for one in idle:
-                if one not in kept:
-                    one.close()
-            if kept:
-                self._idle_by_server[server_id] = kept
+            usable = [connection for connection in idle if now < connection.usable_until]
+            for connection in idle:
+                if connection not in usable:
+                    connection.close()
+            if usable:
+                self._idle_by_server[server_id] = usable
             else:
                 del self._idle_by_server[server_id]
 
-    def drop(self, server_id: str) -> None:
-        """Close the idle connections to a server that is gone or silent."""
-        for one in self._idle_by_server.pop(server_id, []):
-            one.close()
+    def close_idle(self, server_id: str) -> None:
+        """Close the idle connections to a server that is gone or unreachable."""
+        for connection in self._idle_by_server.pop(server_id, []):
+            connection.close()
 
     def _open(self, record: BackendRecord) -> BackendConnection:
         host, _, port = record.address.rpartition(":")
         connection = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
             set_options(connection)
-            with eventlet.Timeout(CONNECT_S, TimeoutError("no connection in time")):
+            with eventlet.Timeout(CONNECT_TIMEOUT_S, TimeoutError("timed out")):
                 connection.connect((host, int(port)))
         except (OSError, ValueError) as error:
             connection.close()
--- a/libs/relay/tarragonhall_relay/_call.py
+++ b/libs/relay/tarragonhall_relay/_call.py
@@ -1,8 +1,8 @@
-"""The way of one passed-on call: admission, turn, tries on backend servers, answer.
+"""One relayed call: admission, turn, attempts on backend servers, response.
 
-A call that need not outlive this process costs no commit: at most once is promised for each
-attempt of the client, which lives and dies here. It is sent again only after a server said, or the
-failed connection proves, that it did not run; or where it may run more than once.
+A call runs at most once for each attempt of the client. The guarantee need not outlive this
+process, so it costs no commit. A call is sent to another server only if a server said, or a failed
+connection proves, that it did not run, or if its route is idempotent.
 """
 
 from __future__ import annotations
@@ -13,47 +13,47 @@
 from tarragonhall_model import BackendRecord, CallType
 
 from tarragonhall_relay._admission import (
-    Admitted,
-    Refused,
+    AdmittedCall,
+    Rejection,
     admit,
-    give_back_rate,
-    take_rate,
+    return_rate_token,
+    take_rate_token,
 )
 from tarragonhall_relay._attempt import (
+    CompleteResponse,
     MayHaveRun,
     NotRun,
     OpenStream,
     Outcome,
-    WholeAnswer,
     try_server,
 )
+from tarragonhall_relay._call_slot import MAX_READY_WAIT_S, CallSlot, wait_until
+from tarragonhall_relay._call_turn import CallTurn, count_tokens
 from tarragonhall_relay._client import ClientConnection, ClientRequest, error_body
 from tarragonhall_relay._dialect import Headers
 from tarragonhall_relay._errors import (
     BackendError,
-    BrokenAnswerError,
-    ClientGoneError,
-    DeadlinePassedError,
+    ClientDisconnectedError,
+    DeadlineExceededError,
+    IncompleteResponseError,
 )
 from tarragonhall_relay._events import EventError, EventReader
-from tarragonhall_relay._place_of_call import HOLD_S, PlaceOfCall, hold
 from tarragonhall_relay._report import CallReport
 from tarragonhall_relay._state import RelayState
-from tarragonhall_relay._turn_of_call import TurnOfCall, tokens_of
 
 log = structlog.get_logger(__name__)
 
 
-class Call:
+class RelayedCall:
     """One call of one client connection."""
 
     __slots__ = (
         "_admitted",
         "_arrived_at",
         "_client",
-        "_place",
         "_report",
         "_request",
+        "_slot",
         "_state",
         "_turn",
     )
@@ -69,77 +69,81 @@
         self._client = client
         self._request = request
         self._arrived_at = arrived_at
-        self._admitted: Admitted | None = None
-        self._place: PlaceOfCall | None = None
+        self._admitted: AdmittedCall | None = None
+        self._slot: CallSlot | None = None
         self._report = CallReport(state, arrived_at)
-        self._turn = TurnOfCall(state)
+        self._turn = CallTurn(state)
 
     def run(self) -> None:
-        """Answer the call.
+        """Run the call and write its response.
 
-        Raises `ClientGoneError`, or `BrokenAnswerError` where the answer broke off midway.
+        Raises `ClientDisconnectedError`, or `IncompleteResponseError` if the response broke off.
         """
-        hold(self._state, self._arrived_at + HOLD_S, lambda: self._state.table is not None)
+        wait_until(
+            self._state, self._arrived_at + MAX_READY_WAIT_S, lambda: self._state.table is not None
+        )
         admitted = admit(self._state, self._request, self._arrived_at)
-        if isinstance(admitted, Refused):
-            self._refuse(admitted)
+        if isinstance(admitted, Rejection):
+            self._reject(admitted)
             return
         self._admitted = admitted
-        self._place = PlaceOfCall(self._state, admitted, self._arrived_at)
+        self._slot = CallSlot(self._state, admitted, self._arrived_at)
         left_s = admitted.deadline.at - self._state.monotonic()
-        self._client.watch()
+        self._client.watch_for_close()
         try:
-            with eventlet.Timeout(max(0.0, left_s), DeadlinePassedError("the time is over")):
+            with eventlet.Timeout(
+                max(0.0, left_s), DeadlineExceededError("the deadline has passed")
+            ):
                 self._run_admitted()
-        except DeadlinePassedError:
-            self._end_late()
-        except ClientGoneError:
+        except DeadlineExceededError:
+            self._end_timed_out()
+        except ClientDisconnectedError:
             self._report.end(admitted, None, "client_gone")
             raise
-        except BrokenAnswerError as error:
+        except IncompleteResponseError as error:
             self._report.end(admitted, None, str(error))
             raise
         finally:
-            self._client.unwatch()
-            self._place.leave()
-            self._turn.end(self._used_tokens())
+            self._client.stop_watching()
+            self._slot.release()
+            self._turn.release(self._generated_tokens())
 
     def _run_admitted(self) -> None:
-        turned_away = self._turn.refuse_spent(self._admitted) or self._place.turn_away()
-        if turned_away is not None:
-            self._refuse(turned_away)
+        early = self._turn.reject_exhausted(self._admitted) or self._slot.reject_early()
+        if early is not None:
+            self._reject(early)
             return
-        refused = take_rate(self._state, self._admitted, self._place.service)
+        rejection = take_rate_token(self._state, self._admitted, self._slot.service)
         self._report.step("rated_ms")
-        if refused is None:
-            refused = self._run_rated()
-            if refused is not None:
-                give_back_rate(self._state, self._admitted)
-        if refused is not None:
-            self._refuse(refused)
-
-    def _run_rated(self) -> Refused | None:
-        """Run the call that has its token; return the refusal where it did not run."""
-        refused = self._turn.begin(self._admitted, self._state.monotonic())
-        if refused is not None:
-            return refused
+        if rejection is None:
+            rejection = self._run_with_token()
+            if rejection is not None:
+                return_rate_token(self._state, self._admitted)
+        if rejection is not None:
+            self._reject(rejection)
+
+    def _run_with_token(self) -> Rejection | None:
+        """Run a call that has its rate token; return a rejection if it did not run."""
+        rejection = self._turn.reserve(self._admitted, self._state.monotonic())
+        if rejection is not None:
+            return rejection
         self._report.step("ready_ms")
         return self._serve()
 
-    def _serve(self) -> Refused | None:
-        """Try servers until one answers; return the refusal where none ran the call."""
+    def _serve(self) -> Rejection | None:
+        """Try servers until one responds; return a rejection if none ran the call."""
         body = self._request.body
         while True:
-            server = self._place.next(self._turn.last_server, self._turn.prompt_size(body))
-            if isinstance(server, Refused):
-                return self._give_up(server)
+            server = self._slot.acquire(self._turn.last_server, self._turn.prompt_size(body))
+            if isinstance(server, Rejection):
+                return self._end_unplaced(server)
             outcome = self._try(server)
             match outcome:
-                case WholeAnswer():
-                    self._place.began()
-                    self._learn_call(server)
-                    self._answered(server)
-                    self._place.leave()
+                case CompleteResponse():
+                    self._slot.note_response()
+                    self._record_call_time(server)
+                    self._note_success(server)
+                    self._slot.release()
                     self._client.respond(outcome.status, outcome.headers, outcome.body)
                     self._report.end(self._admitted, outcome.status, "answered")
                     return None
@@ -149,19 +153,19 @@
                     return None
                 case NotRun():
                     self._note_not_run(server, outcome)
-                case MayHaveRun(reason=reason, silent=silent):
-                    self._note_failure(server, reason, silent)
+                case MayHaveRun(reason=reason, timed_out=timed_out):
+                    self._note_failure(server, reason, timed_out)
                     if not self._may_run_again():
                         self._fail(reason)
                         return None
 
-    def _give_up(self, refused: Refused) -> Refused | None:
-        """Return the refusal of a call that no server took; None where it is answered here."""
-        if self._place.ran_on:
-            # One of the servers may have run it, so the promise of a refusal would be false.
-            self._fail("no other server took the call after one broke off")
+    def _end_unplaced(self, rejection: Rejection) -> Rejection | None:
+        """Return the rejection of a call that got no server; None if a response was sent here."""
+        if self._slot.may_have_run_on:
+            # One of the servers may have run it, and a rejection would deny that.
+            self._fail("one server failed after it had the call, and no other one accepted it")
             return None
-        return refused
+        return rejection
 
     def _try(self, server: BackendRecord) -> Outcome:
         call = self._admitted
@@ -170,43 +174,45 @@
         self._report.server_id = server.server_id
         self._report.step("sent_ms")
         return try_server(
-            self._state, call, server, body, self._urgency(), self._patience_s(server)
+            self._state, call, server, body, self._urgency(), self._answer_timeout_s(server)
         )
 
     def _urgency(self) -> int | None:
-        """Return what to tell a model engine of the call's rank; None for plain services."""
+        """Return the call's rank for a model engine; None for plain services."""
         if self._admitted.route.call_type is not CallType.STREAMING:
             return None
-        return self._place.rank()
+        return self._slot.rank()
 
     def _relay_stream(self, server: BackendRecord, stream: OpenStream) -> None:
-        """Pass events on as they come; the end goes out only once the turn is kept."""
+        """Relay events as they arrive; the end is sent only once the turn is stored."""
         connection = stream.connection
-        whole = False
+        complete = False
         try:
             self._report.step("head_ms")
             self._client.begin(stream.status, stream.headers)
-            output = self._pass_events(stream)
+            output = self._relay_events(stream)
             self._report.step("whole_ms")
-            self._learn_stream(server)
-            self._place.leave()
-            self._turn.keep(self._request.body, output, self._used_tokens(), server.server_id)
+            self._record_stream_time(server)
+            self._slot.release()
+            self._turn.persist(
+                self._request.body, output, self._generated_tokens(), server.server_id
+            )
             self._client.finish()
-            whole = True
+            complete = True
         except (BackendError, EventError) as error:
             self._note_failure(server, str(error))
-            raise BrokenAnswerError(str(error)) from error
+            raise IncompleteResponseError(str(error)) from error
         finally:
-            if whole:
-                self._state.pool.put(connection, stream.facts.keep_alive_s)
-                self._answered(server)
+            if complete:
+                self._state.pool.release(connection, stream.facts.keep_alive_s)
+                self._note_success(server)
             else:
                 connection.close()
 
-    def _pass_events(self, stream: OpenStream) -> bytes:
+    def _relay_events(self, stream: OpenStream) -> bytes:
         reader = EventReader()
         output: list[bytes] = []
-        keeps = self._turn.is_open
+        retains = self._turn.is_open
         while True:
             data = stream.connection.read()
             if data is None:
@@ -216,47 +222,47 @@
                 continue
             if not self._report.events:
                 self._report.step("first_ms")
-                self._place.began()
+                self._slot.note_response()
             self._client.send(b"".join(event.raw for event in events))
             self._report.events += len(events)
-            if keeps:
+            if retains:
                 output.extend(event.data + b"\n" for event in events)
-        if not reader.is_whole():
+        if not reader.is_complete():
             raise EventError("the stream ended in the middle of an event")
         return b"".join(output)
 
-    def _used_tokens(self) -> int:
-        service = self._state.table.service_by_name.get(self._place.service)
-        return tokens_of(self._report.events, service)
+    def _generated_tokens(self) -> int:
+        service = self._state.table.service_by_name.get(self._slot.service)
+        return count_tokens(self._report.events, service)
 
     def _may_run_again(self) -> bool:
         route = self._admitted.route
-        if route.call_type is not CallType.IDEMPOTENT or self._client.began:
+        if route.call_type is not CallType.IDEMPOTENT or self._client.response_started:
             return False
-        return len(self._place.ran_on) < route.max_attempts
+        return len(self._slot.may_have_run_on) < route.max_attempts
 
-    def _learn_call(self, server: BackendRecord) -> None:
-        """Tell the choice of servers how long a plain call ran."""
-        self._state.retries.on_success()
+    def _record_call_time(self, server: BackendRecord) -> None:
+        """Record how long a plain call ran, for the choice of servers."""
+        self._state.retry_budget.on_success()
         now = self._state.monotonic()
         kind = self._admitted.route.name
-        run_ms = self._place.held_ms(now)
+        run_ms = self._slot.held_ms(now)
         self._state.chooser.pace(server.service).call_ended(server.server_id, kind, run_ms, now)
 
-    def _learn_stream(self, server: BackendRecord) -> None:
-        """Tell the choice of servers how long a stream kept its place."""
-        run_ms = self._place.held_ms(self._state.monotonic())
+    def _record_stream_time(self, server: BackendRecord) -> None:
+        """Record how long a stream held its slot, for the choice of servers."""
+        run_ms = self._slot.held_ms(self._state.monotonic())
         self._state.chooser.pace(server.service).stream_ended(run_ms)
 
-    def _answered(self, server: BackendRecord) -> None:
+    def _note_success(self, server: BackendRecord) -> None:
         need = CallNeed(server.service, self._admitted.facts.parts)
         self._state.chooser.answered(server.server_id, need)
-        self._state.suspects.answered(self._admitted.fingerprint)
+        self._state.crash_suspects.answered(self._admitted.fingerprint)
 
     def _note_not_run(self, server: BackendRecord, outcome: NotRun) -> None:
         if outcome.full:
-            self._place.began()
-        self._place.refused(reached=outcome.full)
+            self._slot.note_response()
+        self._slot.note_not_run(reachable=outcome.full)
         self._state.metrics.count("relay.not_run")
         log.info(
             "call.not_run",
@@ -265,27 +271,30 @@
             reason=outcome.reason,
         )
 
-    def _patience_s(self, server: BackendRecord) -> float | None:
+    def _answer_timeout_s(self, server: BackendRecord) -> float | None:
         """Return how long to wait for this server before a look-up is sent to another one.
 
-        A look-up whose answer is lost would else fail its program. Retries are saved up from
-        answers, so that an overload that makes every call slow is not doubled.
+        Without the retry, a look-up whose response is lost would fail its program. The retry budget
+        grows by one for ten responses, so that an overload that slows every call is not doubled.
         """
         route = self._admitted.route
         if route.call_type is not CallType.IDEMPOTENT:
             return None
-        if len(self._place.ran_on) + 1 >= route.max_attempts or not self._state.retries.has_one():
+        if (
+            len(self._slot.may_have_run_on) + 1 >= route.max_attempts
+            or not self._state.retry_budget.has_one()
+        ):
             return None
         left_s = self._admitted.deadline.at - self._state.monotonic()
         return self._state.chooser.pace(server.service).patience_s(route.name, left_s)
 
-    def _note_failure(self, server: BackendRecord, reason: str, silent: bool = False) -> None:
-        self._place.broke()
-        if silent:
-            self._state.retries.take()
+    def _note_failure(self, server: BackendRecord, reason: str, timed_out: bool = False) -> None:
+        self._slot.note_failure()
+        if timed_out:
+            self._state.retry_budget.take()
         else:
-            self._state.suspects.broke(self._admitted.fingerprint, self._state.monotonic())
-            self._state.tell_suspect(self._admitted.fingerprint)
+            self._state.crash_suspects.broke(self._admitted.fingerprint, self._state.monotonic())
+            self._state.report_suspect(self._admitted.fingerprint)
         self._state.metrics.count("relay.may_have_run")
         log.info(
             "call.may_have_run",
@@ -294,28 +303,30 @@
             reason=reason,
         )
 
-    def _refuse(self, refused: Refused) -> None:
+    def _reject(self, rejection: Rejection) -> None:
         extra: Headers = []
-        if refused.retry_after_s is not None:
-            extra = [(b"retry-after", f"{refused.retry_after_s:.3f}".encode())]
-        self._own_answer(refused.status, refused.error, refused.message, extra)
-        self._report.end(self._admitted, refused.status, refused.message, refused.retry_after_s)
+        if rejection.retry_after_s is not None:
+            extra = [(b"retry-after", f"{rejection.retry_after_s:.3f}".encode())]
+        self._respond_error(rejection.status, rejection.error, rejection.message, extra)
+        self._report.end(
+            self._admitted, rejection.status, rejection.message, rejection.retry_after_s
+        )
 
     def _fail(self, reason: str) -> None:
-        """Say that the call may have run and that there is no answer."""
-        self._own_answer(502, "server_failed", reason)
+        """Respond that the call may have run and that its result is not known."""
+        self._respond_error(502, "server_failed", reason)
         self._report.end(self._admitted, 502, reason)
 
-    def _end_late(self) -> None:
-        if self._client.began:
-            reason = "the time was over in the middle of the answer"
+    def _end_timed_out(self) -> None:
+        if self._client.response_started:
+            reason = "the deadline passed in the middle of the response"
             self._report.end(self._admitted, None, reason)
-            raise BrokenAnswerError(reason)
-        reason = "no answer came in time"
-        self._own_answer(504, "deadline", reason)
+            raise IncompleteResponseError(reason)
+        reason = "no response before the deadline"
+        self._respond_error(504, "deadline", reason)
         self._report.end(self._admitted, 504, reason)
 
-    def _own_answer(
+    def _respond_error(
         self, status: int, error: str, message: str, extra: Headers | None = None
     ) -> None:
         headers: Headers = [(b"content-type", b"application/json"), *(extra or ())]
--- /dev/null
+++ b/libs/relay/tarragonhall_relay/_call_slot.py
@@ -0,0 +1,211 @@
+"""The slot of one call at a backend server: early rejection, the wait for a slot, its release."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+import eventlet
+from tarragonhall_decisions import CallNeed, QueuedCall, Tier, urgency_of
+from tarragonhall_model import BackendRecord, Refusal, RefusalCode
+
+from tarragonhall_relay._admission import STATUS_UNAVAILABLE, AdmittedCall, Rejection, rejection_for
+from tarragonhall_relay._slots import Slot
+from tarragonhall_relay._state import RelayState
+
+# After a restart of the whole system a leader is elected within little more than a second, and
+# servers register within another. A caller that is rejected at once uses up its few attempts before
+# then, and its program fails. What has not come after this time is not expected soon.
+MAX_READY_WAIT_S = 1.6
+# Part of a call's time limit that this wait may take; the rest is for running.
+READY_WAIT_FRACTION = 0.4
+READY_POLL_S = 0.02
+# Delay before an unreachable server is tried again when no other one is left.
+UNREACHABLE_RETRY_S = 0.06
+# Each refusal by a server costs a round trip, and the stores hold the call's turn open meanwhile.
+MAX_REFUSALS = 12
+# Time until slots become free when every server is full, and until a new server has registered.
+FULL_RETRY_S = 0.15
+NO_SERVER_RETRY_S = 0.8
+# Later turns of a program go to the server of its first one, each with the whole history, so a
+# first call is weighed as this many turns.
+EXPECTED_TURNS = 4
+# A first call that waits longer than this share of its latency objective makes its program late,
+# and those that wait with it. Rejected by then, it can still meet the objective on a retry.
+FIRST_CALL_WAIT_FRACTION = 0.5
+
+
+def wait_until(state: RelayState, until: float, condition: Callable[[], bool]) -> bool:
+    """Wait for a condition; return whether it held by `until` (monotonic seconds)."""
+    while not condition():
+        if state.monotonic() >= until:
+            return False
+        eventlet.sleep(READY_POLL_S)
+    return True
+
+
+class CallSlot:
+    """Holds the slot of a call and the servers that must not get it again."""
+
+    __slots__ = (
+        "_arrived_at",
+        "_call",
+        "_queued",
+        "_refusals",
+        "_slot",
+        "_state",
+        "_tier",
+        "_unreachable",
+        "may_have_run_on",
+        "service",
+    )
+
+    def __init__(self, state: RelayState, call: AdmittedCall, arrived_at: float) -> None:
+        self._state = state
+        self._call = call
+        self._arrived_at = arrived_at
+        self._slot: Slot | None = None
+        self._refusals = 0
+        # Unreachable servers did not run the call and may be retried; those below must not be.
+        self._unreachable: set[str] = set()
+        self.may_have_run_on: set[str] = set()
+        self.service = state.table.service_of(call.route, state.rng)
+        self._tier = Tier(call.starts_program, self.rank())
+        self._queued = self._make_queued_call()
+
+    def reject_early(self) -> Rejection | None:
+        """Return the rejection of a call that must not start now, if there is one."""
+        refusal = self._state.slots.reject_early(self.service, self._queued, self._tier)
+        return self._no_slot(refusal) if refusal is not None else None
+
+    def acquire(self, last_server: str, prompt_size: int) -> BackendRecord | Rejection:
+        """Wait for a known server with a free slot; return the server or the rejection.
+
+        `last_server` ran the previous turn, and the call carries `prompt_size` bytes. A slot that
+        is already held is exchanged for the new one.
+        """
+        if self._refusals >= MAX_REFUSALS:
+            return self._full()
+        if self._is_blocked():
+            return self._no_server()
+        if not wait_until(self._state, self._wait_deadline(), self._has_server):
+            return self._no_server()
+        slots = self._state.slots
+        need = self._need(last_server, prompt_size)
+        if self._slot is None:
+            result = slots.acquire(self._queued, self._tier, need)
+        else:
+            previous, self._slot = self._slot, None
+            result = slots.reacquire(previous, need)
+        if isinstance(result, Refusal):
+            return self._no_slot(result)
+        self._slot = result
+        return result.server
+
+    def held_ms(self, now: float) -> float:
+        """Return for how many milliseconds the current slot has been held."""
+        return (now - self._slot.started_at) * 1000
+
+    def note_not_run(self, reachable: bool) -> None:
+        """Record that the server of the current slot did not run the call."""
+        self._refusals += 1
+        server_id = self._slot.server.server_id
+        now = self._state.monotonic()
+        if reachable:
+            self._state.chooser.refused(server_id, now)
+            return
+        self._unreachable.add(server_id)
+        self._state.chooser.failed(server_id, now)
+
+    def note_failure(self) -> None:
+        """Record that the server of the current slot failed and may have run the call."""
+        server_id = self._slot.server.server_id
+        self.may_have_run_on.add(server_id)
+        self._state.chooser.failed(server_id, self._state.monotonic())
+
+    def note_response(self) -> None:
+        """Record that the server has begun to respond."""
+        if self._slot is not None:
+            self._state.slots.note_response(self._slot)
+
+    def release(self) -> None:
+        """Release the slot, if one is held."""
+        if self._slot is not None:
+            self._state.slots.release(self._slot)
+            self._slot = None
+
+    def rank(self) -> int:
+        """Return the call's rank, lower first."""
+        organisation = self._call.organisation
+        priority = organisation.priority if organisation else 0
+        return urgency_of(priority, self._call.route.priority)
+
+    def _is_blocked(self) -> bool:
+        """Return whether no server of the service may run the call until operators intervene."""
+        chooser = self._state.chooser
+        if chooser.is_evacuated(self.service):
+            return True
+        homes = self._call.home_zones
+        known = chooser.servers(self.service)
+        return homes is not None and not any(server.availability_zone in homes for server in known)
+
+    def _wait_deadline(self) -> float:
+        total_s = self._call.deadline.at - self._arrived_at
+        return self._arrived_at + min(MAX_READY_WAIT_S, total_s * READY_WAIT_FRACTION)
+
+    def _has_server(self) -> bool:
+        """Return whether there is a server to try; unreachable ones count again after a delay."""
+        known = {server.server_id for server in self._state.chooser.servers(self.service)}
+        if known - self.may_have_run_on - self._unreachable:
+            return True
+        if self._unreachable and known - self.may_have_run_on:
+            eventlet.sleep(UNREACHABLE_RETRY_S * self._state.rng.uniform(0.5, 1.5))
+            self._unreachable.clear()
+        return False
+
+    def _need(self, last_server: str, prompt_size: int) -> CallNeed:
+        facts, route = self._call.facts, self._call.route
+        turns = EXPECTED_TURNS if self._call.starts_program else 1
+        return CallNeed(
+            self.service,
+            facts.parts if route.retained or route.affinity else (),
+            facts.object_key if route.affinity else "",
+            last_server,
+            frozenset(self._unreachable | self.may_have_run_on),
+            prompt_size * turns,
+            self._call.home_zones,
+        )
+
+    def _make_queued_call(self) -> QueuedCall:
+        call = self._call
+        begins = call.starts_program
+        patience_s = float("inf")
+        if begins and call.route.objective_ms:
+            patience_s = FIRST_CALL_WAIT_FRACTION * call.route.objective_ms / 1000
+        return QueuedCall(
+            # Clients choose attempt ids, and two calls at a time could carry the same one.
+            f"{call.facts.attempt_id}/{id(self)}",
+            call.org_id or "",
+            call.facts.program_id,
+            1.0,
+            call.deadline,
+            run_s=self._state.chooser.pace(self.service).run_ms / 1000,
+            started=not begins,
+            patience_s=patience_s,
+        )
+
+    def _no_slot(self, refusal: Refusal) -> Rejection:
+        self._state.metrics.count("relay.no_place")
+        return rejection_for(refusal)
+
+    def _no_server(self) -> Rejection:
+        message = f"no server of {self.service} is known and reachable"
+        return _unavailable(RefusalCode.NO_SERVER, message, NO_SERVER_RETRY_S)
+
+    def _full(self) -> Rejection:
+        message = f"every server of {self.service} that was tried is full or unreachable"
+        retry_after_s = FULL_RETRY_S * self._state.rng.uniform(0.7, 1.3)
+        return _unavailable(RefusalCode.OVERLOADED, message, retry_after_s)
+
+
+def _unavailable(code: RefusalCode, message: str, retry_after_s: float) -> Rejection:
+    return Rejection(STATUS_UNAVAILABLE, code.value, message, retry_after_s)
--- a/libs/relay/tarragonhall_relay/_client.py
+++ b/libs/relay/tarragonhall_relay/_client.py
@@ -1,8 +1,8 @@
-"""One client's connection: strict HTTP/1.1 in, answers out.
+"""One client connection: reads strict HTTP/1.1 requests and writes responses.
 
-A library without input and output of its own (`h11`) reads the bytes, so that the place of every
-byte is known: what follows a request is never taken for a part of it, and a client that leaves is
-noticed while its answer is awaited.
+The bytes are parsed by `h11`, which does no input or output of its own. So the position of every
+byte is known: what follows a request is never taken for part of it, and a client that closes its
+connection is noticed while its response is pending.
 """
 
 from __future__ import annotations
@@ -19,23 +19,23 @@
 from tarragonhall_model import ClientLimits
 
 from tarragonhall_relay._dialect import Headers
-from tarragonhall_relay._errors import BadRequestError, ClientGoneError
+from tarragonhall_relay._errors import BadRequestError, ClientDisconnectedError
 from tarragonhall_relay._routes import host_of
-from tarragonhall_relay._sockets import is_quiet
+from tarragonhall_relay._sockets import is_open_and_idle
 
 READ_BYTES = 64 * 1024
-# A body arrives in one go or in a few round trips; slower than this is a client that has stopped.
-BODY_PAUSE_S = 5.0
-# A client that takes nothing for so long has stopped reading; its place is needed by others.
-WRITE_PAUSE_S = 10.0
-# After a refusal the rest of what was sent is read and dropped for this long: closing with unread
-# bytes resets the connection, and the client would lose the refusal on its way.
+# A body arrives at once or within a few round trips; a client that pauses for longer has stopped.
+BODY_READ_TIMEOUT_S = 5.0
+# A client that accepts no bytes for so long has stopped reading, and others need its slot.
+WRITE_TIMEOUT_S = 10.0
+# After the last response, input is read and discarded for this long. Closing with unread bytes
+# resets the connection, and the client could lose a response that is still in transit.
 LINGER_S = 0.5
-TRANSFER = b"transfer-encoding"
-# What a request line and a header line hold besides their parts: spaces, version, colon, line end.
-REQUEST_LINE_REST = len("  HTTP/1.1\r\n")
-HEADER_LINE_REST = len(": \r\n")
-# Names that concern one connection alone, and those that frame a body.
+TRANSFER_ENCODING = b"transfer-encoding"
+# Bytes of a request line and of a header line besides their parts.
+REQUEST_LINE_OVERHEAD = len("  HTTP/1.1\r\n")
+HEADER_LINE_OVERHEAD = len(": \r\n")
+# Headers that concern a single connection or frame a body; they are not forwarded.
 HOP_HEADERS = frozenset(
     {
         b"connection",
@@ -55,7 +55,7 @@
 
 @dataclass(slots=True)
 class ClientRequest:
-    """One request, read whole."""
+    """One request, read to its end."""
 
     method: str
     target: bytes
@@ -70,7 +70,7 @@
 
 
 class ClientConnection:
-    """Reads one request after the other and writes their answers."""
+    """Reads one request after the other and writes their responses."""
 
     __slots__ = (
         "_connection",
@@ -78,9 +78,9 @@
         "_limits",
         "_listener",
         "_throw",
-        "began",
         "closing",
-        "reading",
+        "request_pending",
+        "response_started",
     )
 
     def __init__(self, connection, limits: ClientLimits) -> None:
@@ -89,20 +89,20 @@
         self._http = h11.Connection(h11.SERVER, max_incomplete_event_size=limits.max_header_bytes)
         self._listener = None
         self._throw = None
-        # Whether the head of the answer at hand has gone out, and whether this one is the last.
-        self.began = False
+        # Whether the head of the current response was sent, and whether it is the last response.
+        self.response_started = False
         self.closing = False
-        # Whether a part of a request has arrived that is not answered yet.
-        self.reading = False
+        # Whether a request, or a part of one, has arrived and has no response yet.
+        self.request_pending = False
 
     def next_request(self, limits: ClientLimits) -> ClientRequest | None:
         """Return the next request, or None at the end of the connection.
 
-        Raises `BadRequestError` for what is no proper request.
+        Raises `BadRequestError` for an invalid request.
         """
         self._limits = limits
-        self.began = False
-        self.reading = False
+        self.response_started = False
+        self.request_pending = False
         try:
             head = self._read_head()
             if head is None:
@@ -110,28 +110,30 @@
             _check_size(head, limits.max_header_bytes)
             _check_framing(head)
             if self._http.they_are_waiting_for_100_continue:
-                go_on = h11.InformationalResponse(status_code=100, headers=[])
-                self._write(self._http.send(go_on))
+                interim = h11.InformationalResponse(status_code=100, headers=[])
+                self._write(self._http.send(interim))
             body = self._read_body(head)
         except h11.RemoteProtocolError as error:
             raise BadRequestError(error.error_status_hint, str(error)) from error
         host = next((value for name, value in head.headers if name == b"host"), b"")
-        headers = _forwardable(list(head.headers))
+        headers = _forwardable_headers(list(head.headers))
         return ClientRequest(head.method.decode(), head.target, host_of(host), headers, body)
 
-    def watch(self) -> None:
-        """Raise `ClientGoneError` in this green thread as soon as the client closes."""
-        owner = greenlet.getcurrent()
+    def watch_for_close(self) -> None:
+        """Raise `ClientDisconnectedError` in this green thread as soon as the client closes."""
+        green_thread = greenlet.getcurrent()
         hub = hubs.get_hub()
 
         def on_readable(_fileno: int) -> None:
             if self._listener is None:
-                # Gathered by the hub before this was stopped, in the same round: the call has
-                # ended, and its green thread too, or it is at the next one.
+                # The hub collected this event in the same round, before the listener was removed.
+                # The call has ended, and its green thread may be at the next call.
                 return
             self._stop_listening()
             if self._is_closed():
-                self._throw = hub.schedule_call_global(0, owner.throw, ClientGoneError("left"))
+                self._throw = hub.schedule_call_global(
+                    0, green_thread.throw, ClientDisconnectedError("left")
+                )
 
         def on_error(*_error: object) -> None:
             self._stop_listening()
@@ -139,15 +141,15 @@
         fileno = self._connection.fileno()
         self._listener = hub.add(hub.READ, fileno, on_readable, on_error, lambda: None)
 
-    def unwatch(self) -> None:
-        """Let the client close without interrupting this green thread."""
+    def stop_watching(self) -> None:
+        """Stop raising an error in this green thread when the client closes."""
         self._stop_listening()
         if self._throw is not None:
             self._throw.cancel()
             self._throw = None
 
     def respond(self, status: int, headers: Headers, body: bytes) -> None:
-        """Write a whole answer."""
+        """Write a complete response."""
         if _has_no_body(status):
             body = b""
             framing: Headers = []
@@ -160,28 +162,28 @@
         if body:
             data += self._http.send(h11.Data(data=body))
         data += self._http.send(h11.EndOfMessage())
-        self.began = True
+        self.response_started = True
         self._write(data)
 
     def begin(self, status: int, headers: Headers) -> None:
-        """Write the head of an answer whose length is not known yet."""
+        """Write the head of a response whose length is not known yet."""
         framing: Headers = [(b"transfer-encoding", b"chunked")]
         response = h11.Response(
             status_code=status, headers=headers + framing + self._connection_headers()
         )
-        self.began = True
+        self.response_started = True
         self._write(self._http.send(response))
 
     def send(self, data: bytes) -> None:
-        """Write a part of the answer."""
+        """Write a part of the response body."""
         self._write(self._http.send(h11.Data(data=data)))
 
     def finish(self) -> None:
-        """End the answer: only now does it look complete."""
+        """End the response; it looks complete to the client only from now on."""
         self._write(self._http.send(h11.EndOfMessage()))
 
     def next_cycle(self) -> bool:
-        """Make ready for the next request; return whether the connection stays open."""
+        """Prepare for the next request; return whether the connection stays open."""
         if self.closing or self._http.our_state is not h11.DONE:
             return False
         if self._http.their_state is not h11.DONE:
@@ -190,17 +192,18 @@
         return True
 
     def close_if_idle(self) -> None:
-        """End the connection unless a request is at hand or has begun to arrive.
+        """Shut the connection down unless a request is running or has begun to arrive.
 
-        A request that crosses this was not read, so its client knows that it did not run.
+        A request that arrives at the same moment is not read, so its client knows that it did not
+        run.
         """
-        if not self.reading and is_quiet(self._connection):
+        if not self.request_pending and is_open_and_idle(self._connection):
             with contextlib.suppress(OSError):
                 self._connection.shutdown(socket.SHUT_RDWR)
 
     def close(self, linger: bool) -> None:
-        """Close; with `linger` read on for a moment, so that the last answer arrives."""
-        self.unwatch()
+        """Close; with `linger` read on for a moment, so that the last response arrives."""
+        self.stop_watching()
         with contextlib.suppress(OSError):
             if linger:
                 self._connection.shutdown(socket.SHUT_WR)
@@ -210,8 +213,8 @@
         self._connection.close()
 
     def abort(self) -> None:
-        """Close at once, so that an answer that is not whole does not look complete."""
-        self.unwatch()
+        """Close at once, so that an unfinished response does not look complete."""
+        self.stop_watching()
         self._connection.close()
 
     def _connection_headers(self) -> Headers:
@@ -227,7 +230,7 @@
             while True:
                 event = self._http.next_event()
                 if isinstance(event, h11.Request):
-                    self.reading = True
+                    self.request_pending = True
                     return event
                 if event is not h11.NEED_DATA:
                     return None
@@ -236,7 +239,7 @@
                     if not data:
                         return None
                     self._http.receive_data(data)
-                    self.reading = True
+                    self.request_pending = True
                 else:
                     data = self._receive(self._limits.header_timeout_ms / 1000)
                     if data is None:
@@ -245,8 +248,10 @@
                 if first:
                     first = False
                     seconds = self._limits.header_timeout_ms / 1000
-                    late = BadRequestError(408, "the head of the request did not arrive in time")
-                    deadline = eventlet.Timeout(seconds, late)
+                    timeout_error = BadRequestError(
+                        408, "the head of the request did not arrive in time"
+                    )
+                    deadline = eventlet.Timeout(seconds, timeout_error)
         finally:
             if deadline is not None:
                 deadline.cancel()
@@ -269,29 +274,31 @@
                     raise BadRequestError(413, message)
                 continue
             if event is not h11.NEED_DATA:
-                raise ClientGoneError("left in the middle of a request")
-            data = self._receive(BODY_PAUSE_S)
+                raise ClientDisconnectedError("closed the connection in the middle of a request")
+            data = self._receive(BODY_READ_TIMEOUT_S)
             if data is None:
                 raise BadRequestError(408, "the body of the request did not arrive in time")
             self._http.receive_data(data)
 
     def _receive(self, timeout_s: float) -> bytes | None:
-        """Return what arrives next, empty at the end, None where nothing comes in time."""
+        """Return the next bytes, empty at the end of the connection, None on timeout."""
         with eventlet.Timeout(timeout_s, False):
             try:
                 return self._connection.recv(READ_BYTES)
             except OSError as error:
-                raise ClientGoneError(str(error)) from error
+                raise ClientDisconnectedError(str(error)) from error
         return None
 
     def _write(self, data: bytes | None) -> None:
         if not data:
             return
         try:
-            with eventlet.Timeout(WRITE_PAUSE_S, ClientGoneError("takes no bytes")):
+            with eventlet.Timeout(
+                WRITE_TIMEOUT_S, ClientDisconnectedError("does not read its response")
+            ):
                 self._connection.sendall(data)
         except OSError as error:
-            raise ClientGoneError(str(error)) from error
+            raise ClientDisconnectedError(str(error)) from error
 
     def _is_closed(self) -> bool:
         try:
@@ -308,35 +315,35 @@
 
 
 def error_body(error: str, message: str) -> bytes:
-    """Return the body of an answer of the relay's own."""
+    """Return the JSON body of an error response by the relay itself."""
     value = {"error": error, "message": message}
     return json.dumps(value, separators=(",", ":")).encode()
 
 
 def _check_size(head: h11.Request, limit: int) -> None:
-    """Refuse a head over the limit that arrived at once; the library counts only what waits."""
-    size = len(head.method) + len(head.target) + REQUEST_LINE_REST
-    size += sum(len(name) + len(value) + HEADER_LINE_REST for name, value in head.headers)
+    """Reject a head over the limit, in bytes; `h11` checks only heads that arrive in parts."""
+    size = len(head.method) + len(head.target) + REQUEST_LINE_OVERHEAD
+    size += sum(len(name) + len(value) + HEADER_LINE_OVERHEAD for name, value in head.headers)
     if size > limit:
         raise BadRequestError(431, f"the head of the request is over {limit} bytes")
 
 
 def _check_framing(head: h11.Request) -> None:
-    """Refuse what another reader of the same bytes could frame differently.
+    """Reject a request that another parser could frame differently.
 
-    Where a length and chunks are both given, one reader ends the request at the one and another at
-    the other: the bytes between would be a request that nobody sent.
+    Given both a length and chunks, two parsers may disagree on where the request ends, and the
+    bytes in between would run as a request that nobody sent (request smuggling).
     """
     names = [name for name, _value in head.headers]
-    encodings = [value.strip().lower() for name, value in head.headers if name == TRANSFER]
+    encodings = [value.strip().lower() for name, value in head.headers if name == TRANSFER_ENCODING]
     if encodings and (b"content-length" in names or encodings != [b"chunked"]):
-        raise BadRequestError(400, "the length of the body is given in two ways")
+        raise BadRequestError(400, "the request has conflicting or unsupported body framing")
     if not head.target.startswith(b"/"):
-        raise BadRequestError(400, "the target of the request is no path")
+        raise BadRequestError(400, "the request target is not a path")
 
 
-def _forwardable(headers: Headers) -> Headers:
-    """Return the headers without those that concern the client's connection alone."""
+def _forwardable_headers(headers: Headers) -> Headers:
+    """Return the headers without the hop-by-hop ones and those named by `connection`."""
     named: set[bytes] = set()
     for name, value in headers:
         if name == b"connection":
--- a/libs/relay/tarragonhall_relay/_dialect.py
+++ b/libs/relay/tarragonhall_relay/_dialect.py
@@ -1,7 +1,7 @@
-"""What the relay needs to know of a call or an answer, whatever the platform calls it.
+"""Facts that the relay needs of calls and responses, independent of header names.
 
-The relay itself knows no header names but HTTP's own. A `Dialect` reads a platform's headers into
-these types and writes them back; everything between is the relay's.
+The relay itself knows only the standard HTTP headers. A `Dialect` translates a platform's headers
+to these types and back.
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 
 @dataclass(slots=True, frozen=True)
 class CallFacts:
-    """What a client's headers say of its call. Times are milliseconds from the arrival on.
+    """Facts from the headers of a client's call. Times are milliseconds from its arrival.
 
-    `attempt_id` is the client's name for this one try. `most_tokens` bounds what the call may
-    generate, `token_budget` what its whole program may. `object_key` names what it is about.
+    `attempt_id` is the client's id of this attempt. `most_tokens` limits what the call may
+    generate, `token_budget` what its whole program may. `object_key` names what the call is about.
     """
 
     attempt_id: str = ""
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DispatchFacts:
-    """What the relay tells the backend server besides the client's own headers."""
+    """Facts that the relay sends to the backend server in addition to the client's headers."""
 
     org_id: str | None
     server_id: str
@@ -47,10 +47,10 @@
 
 @dataclass(slots=True, frozen=True)
 class AnswerFacts:
-    """What a backend server's headers say of its answer.
+    """Facts from the headers of a backend server's response.
 
-    `not_executed` is its promise that the call did not run and will not. `signed` says that the
-    answer bears the server's proof of origin. `attempt_id` echoes the call that it answers.
+    `not_executed` states that the call did not run and will not. `signed` says that the response
+    has the server's proof of origin. `attempt_id` repeats that of the call.
     """
 
     attempt_id: str | None
@@ -60,16 +60,16 @@
 
 
 class Dialect(Protocol):
-    """Translates between a platform's wire and the relay's types."""
+    """Translates between a platform's headers and documents and the relay's types."""
 
     def read_call(self, headers: Headers) -> CallFacts:
-        """Return what the headers say; raise `InputError` with every finding."""
+        """Return the facts of a call; raise `InputError` with every invalid header."""
 
     def write_call(self, headers: Headers, dispatch: DispatchFacts) -> Headers:
-        """Return the client's headers as the backend server is to see them."""
+        """Return the headers to send to the backend server."""
 
     def read_answer(self, headers: Headers) -> AnswerFacts:
-        """Return what a backend server's headers say."""
+        """Return the facts of a backend server's response."""
 
     def read_config(self, document: RelayDocument) -> RelayConfig:
-        """Decode a document that was checked when it was published."""
+        """Decode a relay document, which was validated when it was published."""
--- a/libs/relay/tarragonhall_relay/_errors.py
+++ b/libs/relay/tarragonhall_relay/_errors.py
@@ -1,20 +1,20 @@
-"""What ends a passed-on call other than its answer."""
+"""Errors that end a relayed call or one attempt at it."""
 
 from __future__ import annotations
 
 from tarragonhall_model import TarragonhallError
 
 
-class ClientGoneError(TarragonhallError):
-    """The client closed its connection; nobody waits for the answer."""
+class ClientDisconnectedError(TarragonhallError):
+    """The client closed its connection and no longer waits for the response."""
 
 
-class DeadlinePassedError(TarragonhallError):
-    """The client's time, or that of the route, is over."""
+class DeadlineExceededError(TarragonhallError):
+    """The deadline of the client or the timeout of the route has passed."""
 
 
 class BadRequestError(TarragonhallError):
-    """What the client sent is no proper request; `status` says how it is answered."""
+    """The client sent an invalid request; `status` is that of the response."""
 
     def __init__(self, status: int, message: str) -> None:
         super().__init__(message)
@@ -22,9 +22,9 @@
 
 
 class BackendError(TarragonhallError):
-    """A backend server could not be reached or broke off.
+    """A backend server was unreachable, or its connection or response failed.
 
-    `sent` says whether any byte of the call left this process: if not, it certainly did not run.
+    `sent` says whether any byte of the call left this process; if not, it certainly did not run.
     """
 
     def __init__(self, message: str, sent: bool) -> None:
@@ -32,16 +32,16 @@
         self.sent = sent
 
 
-class SilentServerError(BackendError):
-    """A server has not answered for several times as long as such calls take.
+class AnswerTimeoutError(BackendError):
+    """A server has not responded for several times as long as such calls take.
 
-    Most likely its answer was lost. Unlike a connection that breaks off this says nothing against
-    the call.
+    Most likely its response was lost. Unlike a connection that breaks, this is no evidence that the
+    call crashes servers.
     """
 
     def __init__(self, after_s: float) -> None:
-        super().__init__(f"no answer within {after_s:.3f} s", sent=True)
+        super().__init__(f"no response within {after_s:.3f} s", sent=True)
 
 
-class BrokenAnswerError(TarragonhallError):
-    """The answer broke off after its head went to the client; only closing shows it."""
+class IncompleteResponseError(TarragonhallError):
+    """The response failed after its head was sent; closing the connection is all that shows it."""
--- a/libs/relay/tarragonhall_relay/_events.py
+++ b/libs/relay/tarragonhall_relay/_events.py
@@ -1,8 +1,8 @@
-"""Server-sent events of a backend server's stream: whole events, in order, and their data.
+"""Parser of a backend server's stream of server-sent events, which checks their order.
 
-A server may break off in the middle of an event, leave one out or send one twice. A client that was
-passed the bytes as they came could take such a stream for whole, so events are passed on one by
-one, and a stream whose ids do not follow one another is broken off.
+A server may stop in the middle of an event, skip one or send one twice. If its bytes were forwarded
+as they arrive, a client could take such a stream for complete. So only complete events are
+forwarded, and a stream whose event ids are not consecutive is aborted.
 """
 
 from __future__ import annotations
@@ -11,24 +11,24 @@
 
 from tarragonhall_model import TarragonhallError
 
-# Far above any event seen; a stream without an end of an event must not fill the memory.
+# Far above the size of real events; an event that never ends must not fill the memory.
 MAX_EVENT_BYTES = 1024 * 1024
 
 
 class EventError(TarragonhallError):
-    """The stream is not a sequence of whole events in order."""
+    """The stream is not a sequence of complete events in order."""
 
 
 @dataclass(slots=True, frozen=True)
 class StreamEvent:
-    """One event as it came (`raw`, with its blank line), and its data."""
+    """The bytes of one event (`raw`, with its blank line) and its data."""
 
     raw: bytes
     data: bytes
 
 
 class EventReader:
-    """Cuts the bytes of a stream into events and checks their order."""
+    """Splits the bytes of a stream into events and checks their order."""
 
     __slots__ = ("_buffer", "_last_id", "count")
 
@@ -38,7 +38,7 @@
         self.count = 0
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """Return the events that are whole now; raise `EventError` where one is out of order."""
+        """Return the events that are now complete; raise `EventError` if one is out of order."""
         self._buffer += data
         events = []
         while True:
@@ -50,11 +50,11 @@
             if event is not None:
                 events.append(event)
         if len(self._buffer) > MAX_EVENT_BYTES:
-            raise EventError("an event has no end")
+            raise EventError("an event is longer than the limit")
         return events
 
-    def is_whole(self) -> bool:
-        """Return whether nothing of an unfinished event is left."""
+    def is_complete(self) -> bool:
+        """Return whether no part of an unfinished event is left."""
         return not self._buffer.strip(b"\r\n")
 
     def _read(self, raw: bytes) -> StreamEvent | None:
@@ -75,7 +75,7 @@
         if event_id is None:
             return
         if not event_id.isdigit():
-            raise EventError(f"the event id {event_id!r} is no number")
+            raise EventError(f"the event id {event_id!r} is not a number")
         number = int(event_id)
         if self._last_id is not None and number != self._last_id + 1:
             raise EventError(f"event {number} follows event {self._last_id}")
@@ -83,11 +83,11 @@
 
 
 def _end_of_event(buffer: bytes) -> int:
-    """Return where the first event ends, behind its blank line; 0 while it is not whole."""
-    plain = buffer.find(b"\n\n")
-    carriage = buffer.find(b"\r\n\r\n")
-    if plain < 0 and carriage < 0:
+    """Return the offset behind the first event's blank line; 0 while it is incomplete."""
+    lf_end = buffer.find(b"\n\n")
+    crlf_end = buffer.find(b"\r\n\r\n")
+    if lf_end < 0 and crlf_end < 0:
         return 0
-    if carriage < 0 or 0 <= plain < carriage:
-        return plain + 2
-    return carriage + 4
+    if crlf_end < 0 or 0 <= lf_end < crlf_end:
+        return lf_end + 2
+    return crlf_end + 4
--- a/libs/relay/tarragonhall_relay/_following.py
+++ b/libs/relay/tarragonhall_relay/_followers.py
@@ -1,4 +1,8 @@
-"""What the relay learns from control: the document, the entries, the stores, the servers."""
+"""Updates that the relay gets from control and from the other entries.
+
+Control sends the relay document, the view (entries and stores) and the backend servers. Entries
+send each other their load, suspect requests and programs with an exhausted budget.
+"""
 
 from __future__ import annotations
 
@@ -29,27 +33,27 @@
 
 log = structlog.get_logger(__name__)
 
-# Changes are pushed; the question repairs what was lost and keeps this entry among the followers.
-FOLLOW_SECONDS = 2.5
-# A member that did not answer is asked again sooner.
-RETRY_SECONDS = 0.8
-# Many round trips: a member that answers later is busy or gone, and the next question comes soon.
-ASK_SECONDS = 1.0
-LINK_SECONDS = 0.5
-# Seconds in which changes of servers are gathered before calls are sent by them.
-ARRANGE_SECONDS = 0.02
-# How soon a member that was just learnt of is followed.
-WATCH_SECONDS = 0.25
-# Calls run for some hundred milliseconds; told this often, the others know most of them. What has
-# not changed is told again before it counts as gone.
-LOAD_SECONDS = 0.4
-LOAD_REPEAT = 2
-# Seconds between two sums of a collector. They are two steps older than what entries tell.
-DIGEST_SECONDS = 0.3
+# Changes are pushed. The periodic request recovers lost ones and renews this entry's subscription.
+FOLLOW_INTERVAL_SECONDS = 2.5
+# Interval after a request that failed.
+FOLLOW_RETRY_SECONDS = 0.8
+# Many round trips: a member that replies later is busy or gone, and the next request comes soon.
+FOLLOW_TIMEOUT_SECONDS = 1.0
+LINK_TIMEOUT_SECONDS = 0.5
+# Seconds for which changes of servers are collected before they apply to the choice of servers.
+UPDATE_BATCH_SECONDS = 0.02
+# Interval at which new control members are looked for.
+MEMBER_POLL_SECONDS = 0.25
+# Calls run for some hundred milliseconds, so at this interval the other entries know of most of
+# them. Unchanged load is repeated every second round, before it expires at the others.
+LOAD_INTERVAL_SECONDS = 0.4
+LOAD_REPEAT_ROUNDS = 2
+# Seconds between two digests of a collector. Their load is two hops older than that of an entry.
+DIGEST_INTERVAL_SECONDS = 0.3
 
 
 class RelayFollower(Follower):
-    """Hands what control says to the parts of the relay."""
+    """Applies updates from control to the components of the relay."""
 
     __slots__ = ("_context", "_state")
 
@@ -59,21 +63,21 @@
         self._state: RelayState | None = None
 
     def attach(self, state: RelayState) -> None:
-        """Name the parts; nothing is followed before."""
+        """Set the state to update; must be called before the first update."""
         self._state = state
 
     def store_addresses(self) -> list[str]:
-        """Return where the store members are, those of the own availability zone first."""
+        """Return the addresses of the stores, those of this availability zone first."""
         zone = self._context.availability_zone
         stores = sorted(self.view.stores, key=lambda store: store.availability_zone != zone)
         return [store.address for store in stores]
 
     def store_zones(self) -> set[str]:
-        """Return the availability zones in which stores keep turns."""
+        """Return the availability zones of the stores."""
         return {store.availability_zone for store in self.view.stores}
 
     def apply_view(self, view: View) -> bool:
-        """Take a view of a later epoch and tell rates and routing of it."""
+        """Apply a view of a later epoch to rates and routing; return whether it was later."""
         if not super().apply_view(view):
             return False
         now = self._context.monotonic()
@@ -90,7 +94,7 @@
         return True
 
     def apply_relay(self, document: RelayDocument) -> bool:
-        """Take a document of a higher version and put it in force here."""
+        """Put a document of a higher version in force; return whether it was higher."""
         if not super().apply_relay(document):
             return False
         config = self._state.dialect.read_config(document)
@@ -101,7 +105,7 @@
         return True
 
     def confirm(self, fresh: Fresh, sent_at: float) -> None:
-        """Take the reply to a heartbeat."""
+        """Apply the reply to a heartbeat that was sent at `sent_at` (monotonic seconds)."""
         super().confirm(fresh, sent_at)
         if self.view.epoch >= fresh.view_epoch:
             self._state.chooser.cold.confirm(sent_at)
@@ -130,10 +134,10 @@
             self._state.rates.set_policy(policy)
 
 
-class PeerNews:
-    """Exchanges with the other entries what each has running, and news of single requests."""
+class PeerUpdates:
+    """Exchanges load, suspect requests and exhausted programs with the other entries."""
 
-    __slots__ = ("_context", "_digest", "_epoch", "_follower", "_state", "_stopped", "_told")
+    __slots__ = ("_context", "_digest", "_epoch", "_follower", "_last_sent", "_state", "_stopped")
 
     def __init__(self, context: ProcessContext, state: RelayState, follower: RelayFollower) -> None:
         self._context = context
@@ -141,39 +145,39 @@
         self._follower = follower
         self._digest = LoadDigest(context.entry_record())
         self._epoch = -1
-        self._told: tuple[dict[str, int], ServerSigns] = ({}, ServerSigns())
+        self._last_sent: tuple[dict[str, int], ServerSigns] = ({}, ServerSigns())
         self._stopped = False
         context.hub.handle(EntryLoad, self._on_load)
         context.hub.handle(ZoneLoad, self._on_zone_load)
         context.hub.handle(LoadElsewhere, self._on_load_elsewhere)
         context.hub.handle(SuspectCall, self._on_suspect)
-        context.hub.handle(ProgramSpent, self._on_spent)
+        context.hub.handle(ProgramSpent, self._on_exhausted)
 
     def start(self) -> None:
-        """Tell from now on."""
-        eventlet.spawn_n(self._tell_loop)
+        """Start sending load and digests."""
+        eventlet.spawn_n(self._load_loop)
         eventlet.spawn_n(self._digest_loop)
 
     def stop(self) -> None:
-        """Tell no more."""
+        """Stop sending load and digests."""
         self._stopped = True
 
-    def _tell_loop(self) -> None:
+    def _load_loop(self) -> None:
         rounds = 0
         while not self._stopped:
-            eventlet.sleep(LOAD_SECONDS)
+            eventlet.sleep(LOAD_INTERVAL_SECONDS)
             rounds += 1
             self._follow_view()
             load = self._state.chooser.own_load()
             signs = self._state.chooser.own_signs(self._context.monotonic())
-            if (load, signs) == self._told and (not load or rounds % LOAD_REPEAT):
+            if (load, signs) == self._last_sent and (not load or rounds % LOAD_REPEAT_ROUNDS):
                 continue
-            self._told = (load, signs)
+            self._last_sent = (load, signs)
             self._send_all(self._digest.announce(load, signs))
 
     def _digest_loop(self) -> None:
         while not self._stopped:
-            eventlet.sleep(DIGEST_SECONDS)
+            eventlet.sleep(DIGEST_INTERVAL_SECONDS)
             self._follow_view()
             if not self._digest.is_collector():
                 continue
@@ -190,28 +194,33 @@
             self._epoch = view.epoch
             self._digest.on_view(view.entries)
 
-    def tell_suspect(self, fingerprint: str) -> None:
-        """Tell the others at once that a run of a request broke off."""
+    def report_suspect(self, fingerprint: str) -> None:
+        """Report at once to the other entries that a run of a request broke off."""
         message = SuspectCall(fingerprint)
         for entry in self._follower.view.entries:
             if entry.entry_id != self._context.instance:
                 self._send(entry.address, message)
 
-    def tell_spent(self, message: ProgramSpent) -> None:
-        """Tell the others of the zone, where the program's other turns come, of a spent budget."""
+    def report_exhausted(self, message: ProgramSpent) -> None:
+        """Report an exhausted budget to the other entries of the zone.
+
+        The other turns of the program arrive there.
+        """
         for entry in self._follower.view.entries:
             if entry.availability_zone != self._context.availability_zone:
                 continue
             if entry.entry_id != self._context.instance:
                 self._send(entry.address, message)
 
-    def _on_spent(self, _link: Link, message: ProgramSpent) -> None:
-        keep_s = message.retention_ms / 1000
+    def _on_exhausted(self, _link: Link, message: ProgramSpent) -> None:
+        retention_s = message.retention_ms / 1000
         now = self._context.monotonic()
-        self._state.spent.note(message.org_id, message.program_id, message.spent, keep_s, now)
+        self._state.exhausted_programs.note(
+            message.org_id, message.program_id, message.spent, retention_s, now
+        )
 
     def _on_suspect(self, _link: Link, message: SuspectCall) -> None:
-        self._state.suspects.broke(message.fingerprint, self._context.monotonic())
+        self._state.crash_suspects.broke(message.fingerprint, self._context.monotonic())
 
     def _send_all(self, messages: list[LoadTo]) -> None:
         for one in messages:
@@ -221,7 +230,7 @@
         try:
             self._context.hub.link_to(address).send(message)
         except LinkError:
-            # The entry knows less for a moment; what lasts is told again or shows there too.
+            # Load is sent again, and a crashing request or exhausted budget shows there as well.
             self._context.metrics.count("relay.peer_untold")
 
     def _on_load(self, _link: Link, message: EntryLoad) -> None:
@@ -242,15 +251,15 @@
 
 
 class BackendFollower:
-    """Follows the backend servers at every control member at once."""
+    """Follows the backend servers, at all control members in parallel."""
 
     __slots__ = (
-        "_arranging",
         "_context",
         "_followed",
         "_state",
         "_stopped",
         "_table",
+        "_update_scheduled",
         "_version_by_source",
     )
 
@@ -260,17 +269,17 @@
         self._table = BackendTable()
         self._followed: set[str] = set()
         self._version_by_source: dict[str, int] = {}
-        self._arranging = False
+        self._update_scheduled = False
         self._stopped = False
         context.hub.handle(BackendsChanged, self._on_changed)
         context.hub.on_up(self._on_link_up)
 
     def start(self) -> None:
-        """Follow from now on."""
+        """Start following."""
         eventlet.spawn_n(self._watch_loop)
 
     def stop(self) -> None:
-        """Follow no more."""
+        """Stop following."""
         self._stopped = True
 
     def _watch_loop(self) -> None:
@@ -279,28 +288,28 @@
                 if address not in self._followed:
                     self._followed.add(address)
                     eventlet.spawn_n(self._follow_loop, address)
-            eventlet.sleep(WATCH_SECONDS)
+            eventlet.sleep(MEMBER_POLL_SECONDS)
 
     def _follow_loop(self, address: str) -> None:
         while not self._stopped and address in self._context.control_addresses:
-            answered = self._ask(address)
-            pause_s = FOLLOW_SECONDS if answered else RETRY_SECONDS
+            answered = self._request_changes(address)
+            pause_s = FOLLOW_INTERVAL_SECONDS if answered else FOLLOW_RETRY_SECONDS
             eventlet.sleep(pause_s * self._context.rng.uniform(0.7, 1.0))
         self._followed.discard(address)
         self._version_by_source.pop(address, None)
         self._apply(self._table.drop_source(address))
 
     def _on_link_up(self, link: Link) -> None:
-        """Ask a member that may have started anew: it pushes to whoever has asked it."""
+        """Request changes at once: a member that has restarted has lost its subscriptions."""
         if link.peer.address in self._followed:
-            eventlet.spawn_n(self._ask, link.peer.address)
+            eventlet.spawn_n(self._request_changes, link.peer.address)
 
-    def _ask(self, address: str) -> bool:
-        """Ask a member for what has changed; return whether it answered."""
+    def _request_changes(self, address: str) -> bool:
+        """Request the changes from a member; return whether it replied."""
         version = self._version_by_source.get(address, -1)
         try:
-            link = self._context.hub.wait_for(address, LINK_SECONDS)
-            reply = link.request(FollowBackends(version), ASK_SECONDS)
+            link = self._context.hub.wait_for(address, LINK_TIMEOUT_SECONDS)
+            reply = link.request(FollowBackends(version), FOLLOW_TIMEOUT_SECONDS)
         except LinkError as error:
             log.debug("backends.unheard", address=address, error=str(error))
             return False
@@ -309,12 +318,12 @@
             self._apply(self._table.replace_source(address, reply.records))
         return True
 
-    def _on_changed(self, link: Link, news: BackendsChanged) -> None:
+    def _on_changed(self, link: Link, update: BackendsChanged) -> None:
         address = link.peer.address
-        if self._version_by_source.get(address) == news.base:
-            # Missed changes show as a gap; then the next question brings the whole table.
-            self._version_by_source[address] = news.version
-        self._apply(self._table.update_source(address, news.records))
+        if self._version_by_source.get(address) == update.base:
+            # After a missed change the version stays behind, and the next request gets all servers.
+            self._version_by_source[address] = update.version
+        self._apply(self._table.update_source(address, update.records))
 
     def _apply(self, changed: set[str]) -> None:
         if not changed:
@@ -322,7 +331,7 @@
         for server_id in changed:
             record = self._table.by_id.get(server_id)
             if record is None or record.gone:
-                self._state.pool.drop(server_id)
+                self._state.pool.close_idle(server_id)
             if record is not None:
                 log.info(
                     "backend.believed",
@@ -333,13 +342,13 @@
                     gone=record.gone,
                     heard=record.heard,
                 )
-        if not self._arranging:
-            self._arranging = True
-            eventlet.spawn_after(ARRANGE_SECONDS, self._arrange)
+        if not self._update_scheduled:
+            self._update_scheduled = True
+            eventlet.spawn_after(UPDATE_BATCH_SECONDS, self._update_servers)
 
-    def _arrange(self) -> None:
-        """Hand all servers on, once for the changes of a moment: it takes a look at each."""
-        self._arranging = False
+    def _update_servers(self) -> None:
+        """Pass all servers to the chooser, once for a batch of changes: it visits each server."""
+        self._update_scheduled = False
         self._table.forget_gone()
         now = self._context.monotonic()
         self._state.chooser.set_servers(list(self._table.by_id.values()), now)
--- a/libs/relay/tarragonhall_relay/_report.py
+++ b/libs/relay/tarragonhall_relay/_report.py
@@ -1,20 +1,20 @@
-"""What is told of one call at its end: one log line, counters and durations."""
+"""The report on one call at its end: a log line, a counter and durations."""
 
 from __future__ import annotations
 
 import structlog
 
-from tarragonhall_relay._admission import Admitted
+from tarragonhall_relay._admission import AdmittedCall
 from tarragonhall_relay._state import RelayState
 
 log = structlog.get_logger(__name__)
 
-# The steps whose durations are worth a histogram: until the turn is open, until the first event.
-TIMED_STEPS = ("ready_ms", "first_ms")
+# Steps with a histogram: the turn is reserved, the first event was sent.
+HISTOGRAM_STEPS = ("ready_ms", "first_ms")
 
 
 class CallReport:
-    """Gathers when each step was reached and on which server, and ends with one line."""
+    """Collects the times of the steps of one call and logs them at its end."""
 
     __slots__ = ("_arrived_at", "_ms_by_step", "_state", "attempts", "events", "server_id")
 
@@ -27,22 +27,22 @@
         self.server_id: str | None = None
 
     def step(self, name: str) -> None:
-        """Note that a step was reached now, in milliseconds since the arrival."""
+        """Record that a step was reached now, in milliseconds since the arrival."""
         self._ms_by_step[name] = round(self._elapsed_ms(), 1)
 
     def end(
         self,
-        call: Admitted | None,
+        call: AdmittedCall | None,
         status: int | None,
         reason: str,
         retry_after_s: float | None = None,
     ) -> None:
-        """Tell how the call ended; `status` is None for an answer that broke off."""
+        """Report how the call ended; `status` is None for a response that broke off."""
         total_ms = self._elapsed_ms()
         outcome = (("status", str(status) if status is not None else "broken"),)
         self._state.metrics.count("relay.calls", labels=outcome)
         self._state.metrics.timing("relay.call_ms", total_ms)
-        for name in TIMED_STEPS:
+        for name in HISTOGRAM_STEPS:
             if name in self._ms_by_step:
                 self._state.metrics.timing(f"relay.{name}", self._ms_by_step[name])
         log.info(
--- a/libs/relay/tarragonhall_relay/_role.py
+++ b/libs/relay/tarragonhall_relay/_role.py
@@ -1,4 +1,4 @@
-"""The relay as its process drives it: accepts clients, follows control, drains."""
+"""The relay role of an entry process: accepts clients, follows control, drains."""
 
 from __future__ import annotations
 
@@ -21,37 +21,41 @@
 from tarragonhall_wire import ControlClient, ProcessContext, split_address
 
 from tarragonhall_relay._backend import BackendPool
-from tarragonhall_relay._call import Call
+from tarragonhall_relay._call import RelayedCall
 from tarragonhall_relay._client import ClientConnection, error_body
 from tarragonhall_relay._dialect import Dialect
-from tarragonhall_relay._errors import BadRequestError, BrokenAnswerError, ClientGoneError
-from tarragonhall_relay._following import BackendFollower, PeerNews, RelayFollower
-from tarragonhall_relay._places import Places
+from tarragonhall_relay._errors import (
+    BadRequestError,
+    ClientDisconnectedError,
+    IncompleteResponseError,
+)
+from tarragonhall_relay._followers import BackendFollower, PeerUpdates, RelayFollower
+from tarragonhall_relay._slots import SlotAllocator
 from tarragonhall_relay._sockets import set_options
 from tarragonhall_relay._state import RelayState
-from tarragonhall_relay._turns import Turns
+from tarragonhall_relay._turn_store import TurnStoreClient
 
 log = structlog.get_logger(__name__)
 
 BACKLOG = 1_024
-ACCEPT_PAUSE_SECONDS = 0.05
-# Idle connections are given up to within this of their time.
-SWEEP_SECONDS = 1.0
+ACCEPT_RETRY_SECONDS = 0.05
+# Interval at which expired idle connections are closed.
+SWEEP_INTERVAL_SECONDS = 1.0
 DRAIN_POLL_SECONDS = 0.02
-# The balancer asks once a second and takes a process out after two misses; until then clients
-# still come here, and find somebody.
-BALANCER_SECONDS = 2.5
-# Leaving hands the rates over at once; without an answer the missing heartbeats do it later.
-LEAVE_SECONDS = 0.5
+# The balancer checks readiness once a second and removes a process after two failures. Until then
+# new clients still connect here and must be served.
+BALANCER_REMOVAL_SECONDS = 2.5
+# Leaving hands the rates over at once. Without a reply the missing heartbeats do so later.
+LEAVE_TIMEOUT_SECONDS = 0.5
 
 
 @dataclass(slots=True, frozen=True)
 class RelaySettings:
-    """Where clients connect, and by how much rates and the calls of cold servers may be exceeded.
+    """The address for clients, and by how much rates and limits of cold servers may be exceeded.
 
     `rate_lease_s` must be the same on all entries: it is how long an owner of rates may act after
-    control has confirmed it, and how long its successor waits. `region_by_zone` says in which
-    region each availability zone lies, for calls that must stay in some.
+    control has confirmed it, and how long its successor waits. `region_by_zone` gives the region of
+    each availability zone, for calls that must stay in their home regions.
     """
 
     listen: str
@@ -62,17 +66,17 @@
 
 
 class RelayRole:
-    """One entry for passed-on calls."""
+    """One entry that relays calls to backend servers."""
 
     __slots__ = (
-        "_accepting",
-        "_backends",
+        "_acceptor",
+        "_backend_follower",
         "_clients",
         "_context",
         "_control",
         "_follower",
         "_listener",
-        "_peers",
+        "_peer_updates",
         "_settings",
         "_stopped",
         "state",
@@ -95,13 +99,13 @@
         self.state = RelayState(
             dialect=dialect,
             chooser=chooser,
-            places=Places(chooser, context.rng, context.monotonic),
+            slots=SlotAllocator(chooser, context.rng, context.monotonic),
             pool=BackendPool(context.hub.traffic),
-            turns=Turns(context, self._follower.store_addresses),
+            turn_store=TurnStoreClient(context, self._follower.store_addresses),
             rates=Rates(context, settings.rate_slack, settings.rate_lease_s),
-            suspects=CrashSuspects(),
-            tell_suspect=lambda fingerprint: self._peers.tell_suspect(fingerprint),
-            tell_spent=lambda message: self._peers.tell_spent(message),
+            crash_suspects=CrashSuspects(),
+            report_suspect=lambda fingerprint: self._peer_updates.report_suspect(fingerprint),
+            report_exhausted=lambda message: self._peer_updates.report_exhausted(message),
             metrics=context.metrics,
             rng=context.rng,
             monotonic=context.monotonic,
@@ -112,15 +116,15 @@
             cold_slack=settings.cold_slack,
         )
         self._follower.attach(self.state)
-        self._backends = BackendFollower(context, self.state)
-        self._peers = PeerNews(context, self.state, self._follower)
-        # Whoever is connected; each has a green thread of its own.
+        self._backend_follower = BackendFollower(context, self.state)
+        self._peer_updates = PeerUpdates(context, self.state, self._follower)
+        # Each connection has a green thread of its own.
         self._clients: set[ClientConnection] = set()
         self._stopped = False
         self._listener = listener or eventlet.listen(
             split_address(settings.listen), backlog=BACKLOG, reuse_port=False
         )
-        self._accepting = None
+        self._acceptor = None
 
     def start(self) -> None:
         """Follow control and serve clients."""
@@ -130,44 +134,44 @@
             takes_relay=True,
             settled_owners=self.state.rates.settled_owners,
         )
-        self._backends.start()
-        self._peers.start()
-        self._accepting = eventlet.spawn(self._accept_loop)
+        self._backend_follower.start()
+        self._peer_updates.start()
+        self._acceptor = eventlet.spawn(self._accept_loop)
         eventlet.spawn_n(self._sweep_loop)
         log.info("relay.started", listen=self._settings.listen)
 
     def ready(self) -> bool:
-        """Return whether clients may be sent here: a document and servers are known."""
+        """Return whether a relay document and servers are known and no drain has begun."""
         if self.state.draining or self.state.table is None:
             return False
         services = self.state.table.service_by_name
         return any(self.state.chooser.servers(name) for name in services)
 
     def drain(self, timeout_s: float) -> bool:
-        """Stop being ready, wait for the balancer, finish every call at hand."""
+        """Become not ready, finish all calls and leave; return whether all clients are gone."""
         deadline = self._context.monotonic() + timeout_s
         self.state.draining = True
         for client in self._clients:
             client.closing = True
-        log.info("relay.draining", calls=self.state.calls, connections=len(self._clients))
-        eventlet.sleep(min(BALANCER_SECONDS, timeout_s / 2))
+        log.info("relay.draining", calls=self.state.calls_in_flight, connections=len(self._clients))
+        eventlet.sleep(min(BALANCER_REMOVAL_SECONDS, timeout_s / 2))
         self._stop_accepting()
         while self._clients and self._context.monotonic() < deadline:
             for client in list(self._clients):
                 client.close_if_idle()
             eventlet.sleep(DRAIN_POLL_SECONDS)
         ended = not self._clients
-        log.info("relay.drained", calls=self.state.calls, ended=ended)
-        # Only now: without its place in the view this entry gets no tokens for its callers.
-        self._control.leave(self._context.entry_record(), LEAVE_SECONDS)
+        log.info("relay.drained", calls=self.state.calls_in_flight, ended=ended)
+        # Only now: once it has left the view, this entry gets no rate tokens for its calls.
+        self._control.leave(self._context.entry_record(), LEAVE_TIMEOUT_SECONDS)
         return ended
 
     def _stop_accepting(self) -> None:
-        """Take in the connections that wait to be accepted, then no more.
+        """Accept the connections in the backlog, then close the listener.
 
-        Clients in the backlog believe that they are connected, and may have sent their request.
+        Clients in the backlog see an open connection and may have sent their request.
         """
-        self._accepting.kill()
+        self._acceptor.kill()
         self._listener.setblocking(False)
         while True:
             try:
@@ -180,13 +184,13 @@
         eventlet.sleep(0)
 
     def stop(self) -> None:
-        """Release everything at once."""
+        """Stop at once and close all connections."""
         self._stopped = True
-        self._backends.stop()
-        self._peers.stop()
+        self._backend_follower.stop()
+        self._peer_updates.stop()
         self.state.rates.stop()
         if not self.state.draining:
-            self._accepting.kill()
+            self._acceptor.kill()
             self._listener.close()
         for client in list(self._clients):
             client.abort()
@@ -200,7 +204,7 @@
                 connection, _address = self._listener.accept()
             except OSError as error:
                 log.warning("relay.accept_failed", error=str(error))
-                eventlet.sleep(ACCEPT_PAUSE_SECONDS)
+                eventlet.sleep(ACCEPT_RETRY_SECONDS)
                 continue
             eventlet.spawn_n(self._serve, connection)
 
@@ -215,13 +219,13 @@
         try:
             set_options(connection)
             linger = self._serve_requests(client)
-        except ClientGoneError as error:
+        except ClientDisconnectedError as error:
             log.debug("client.gone", error=str(error))
-        except BrokenAnswerError:
+        except IncompleteResponseError:
             client.abort()
         except OSError as error:
             log.debug("client.failed", error=str(error))
-        except Exception:  # noqa: BLE001 - one client's error must not pass without a line
+        except Exception:  # noqa: BLE001 - every client's error must be logged
             log.exception("client.error")
             client.abort()
         finally:
@@ -229,28 +233,28 @@
             client.close(linger)
 
     def _serve_requests(self, client: ClientConnection) -> bool:
-        """Answer requests until the connection ends; return whether to linger at its close."""
+        """Serve requests until the connection ends; return whether to linger at its close."""
         while True:
             client.closing = client.closing or self.state.draining
             try:
                 request = client.next_request(self._limits())
             except BadRequestError as error:
-                self._answer_bad(client, error)
+                self._reject_bad_request(client, error)
                 return True
             if request is None:
                 return False
             client.closing = client.closing or self.state.draining
             arrived_at = self._context.monotonic()
-            self.state.calls += 1
+            self.state.calls_in_flight += 1
             try:
-                Call(self.state, client, request, arrived_at).run()
+                RelayedCall(self.state, client, request, arrived_at).run()
             finally:
-                self.state.calls -= 1
-                client.reading = False
+                self.state.calls_in_flight -= 1
+                client.request_pending = False
             if not client.next_cycle():
                 return client.closing
 
-    def _answer_bad(self, client: ClientConnection, error: BadRequestError) -> None:
+    def _reject_bad_request(self, client: ClientConnection, error: BadRequestError) -> None:
         log.info("call.bad_request", status=error.status, reason=str(error))
         client.closing = True
         body = error_body("bad_input", str(error))
@@ -258,5 +262,5 @@
 
     def _sweep_loop(self) -> None:
         while not self._stopped:
-            eventlet.sleep(SWEEP_SECONDS)
-            self.state.pool.sweep()
+            eventlet.sleep(SWEEP_INTERVAL_SECONDS)
+            self.state.pool.close_expired()
--- a/libs/relay/tarragonhall_relay/_routes.py
+++ b/libs/relay/tarragonhall_relay/_routes.py
@@ -1,4 +1,4 @@
-"""Which route and which organisation a call belongs to, from the document in force."""
+"""The routes and caller keys of the relay document in force."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class RouteTable:
-    """One version of the document, arranged for look-ups."""
+    """One version of the relay document, indexed for look-ups."""
 
     __slots__ = ("_routes_by_host", "config", "organisation_by_key", "service_by_name")
 
@@ -26,7 +26,7 @@
             routes.sort(key=lambda route: len(route.path_prefix), reverse=True)
 
     def match(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix of the path, on this host."""
+        """Return the route of this host with the longest prefix of the path."""
         for route in self._routes_by_host.get(host, ()):
             if path.startswith(route.path_prefix):
                 return route
@@ -37,7 +37,7 @@
         return self.config.organisations is not None and not route.anonymous
 
     def service_of(self, route: Route, rng: random.Random) -> str:
-        """Return the service for one call, drawn by the route's weights."""
+        """Return the service for one call, chosen at random by the route's weights."""
         if len(route.services) == 1:
             return route.services[0].service
         weights = [one.weight for one in route.services]
@@ -45,7 +45,7 @@
 
 
 def host_of(value: bytes) -> str:
-    """Return the host that a call names, without its port, as routes are compared by it."""
+    """Return the host of a `host` header, without its port, as routes name it."""
     host = value.decode("latin-1").strip().lower()
     name, colon, port = host.rpartition(":")
     return name if colon and port.strip().isdigit() else host
--- /dev/null
+++ b/libs/relay/tarragonhall_relay/_slots.py
@@ -0,0 +1,178 @@
+"""Queues of calls that wait for a slot at a service's servers, one green thread for each call."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable
+from dataclasses import dataclass, field
+
+import eventlet
+from eventlet.event import Event
+from tarragonhall_decisions import (
+    BackendChooser,
+    CallNeed,
+    Dropped,
+    PlaceQueue,
+    QueuedCall,
+    Tier,
+)
+from tarragonhall_model import BackendRecord, Refusal
+
+# The call at the head may have to avoid the only server with a free slot, since that server failed
+# or refused it; this many such calls are passed over.
+MAX_SKIPPED_CALLS = 4
+# Capacity windows open and deadlines pass also while no call ends, so the queues are polled.
+QUEUE_POLL_S = 0.02
+
+
+@dataclass(slots=True, frozen=True)
+class Slot:
+    """A slot at a server, held by a call from `started_at` (monotonic seconds)."""
+
+    server: BackendRecord
+    started_at: float
+    queued: QueuedCall
+
+
+@dataclass(slots=True)
+class _Waiter:
+    need: CallNeed
+    event: Event = field(default_factory=Event)
+    result: Slot | Refusal | None = None
+
+    def resolve(self, result: Slot | Refusal) -> None:
+        self.result = result
+        self.event.send()
+
+
+class SlotAllocator:
+    """Allocates slots to the waiting calls of one entry, with a queue for each service."""
+
+    __slots__ = ("_chooser", "_monotonic", "_polling", "_queue_by_service", "_rng", "_waiter_by_id")
+
+    def __init__(
+        self, chooser: BackendChooser, rng: random.Random, monotonic: Callable[[], float]
+    ) -> None:
+        self._chooser = chooser
+        self._rng = rng
+        self._monotonic = monotonic
+        self._polling: set[str] = set()
+        self._queue_by_service: dict[str, PlaceQueue] = {}
+        self._waiter_by_id: dict[str, _Waiter] = {}
+
+    def waiting(self) -> int:
+        """Return how many calls are waiting."""
+        return len(self._waiter_by_id)
+
+    def reject_early(self, service: str, call: QueuedCall, tier: Tier) -> Refusal | None:
+        """Return the refusal of a call that must not start now, before resources are used on it."""
+        return self._queue(service).turn_away(call, tier, self._monotonic())
+
+    def acquire(self, call: QueuedCall, tier: Tier, need: CallNeed) -> Slot | Refusal:
+        """Wait for a slot; return it, or the refusal if none comes in time.
+
+        The caller must pass the slot to `release`, or to `reacquire` if the server was full.
+        """
+        queue = self._queue(need.service)
+        waiter = _Waiter(need)
+        self._waiter_by_id[call.call_id] = waiter
+        self._reject(queue.offer(call, tier, self._monotonic()))
+        return self._wait(call, waiter)
+
+    def reacquire(self, slot: Slot, need: CallNeed) -> Slot | Refusal:
+        """Exchange the slot for another one after its server did not run the call."""
+        self._leave_server(slot)
+        waiter = _Waiter(need)
+        self._waiter_by_id[slot.queued.call_id] = waiter
+        self._queue(need.service).give_back(slot.queued)
+        return self._wait(slot.queued, waiter)
+
+    def release(self, slot: Slot) -> None:
+        """Release a slot after its call has left the server, however it ended."""
+        self._leave_server(slot)
+        service = slot.server.service
+        self._queue(service).on_end(slot.queued)
+        self._dispatch(service)
+
+    def note_response(self, slot: Slot) -> None:
+        """Record that the server of a slot has begun to respond."""
+        self._chooser.silent.answered(slot.server.server_id, slot.queued.call_id, self._monotonic())
+
+    def _leave_server(self, slot: Slot) -> None:
+        self._chooser.silent.left(slot.server.server_id, slot.queued.call_id, self._monotonic())
+        self._chooser.ended(slot.server.server_id, slot.started_at)
+
+    def _wait(self, call: QueuedCall, waiter: _Waiter) -> Slot | Refusal:
+        service = waiter.need.service
+        try:
+            if waiter.result is None:
+                self._dispatch(service)
+            if waiter.result is None:
+                self._start_polling(service)
+                waiter.event.wait()
+        except BaseException:
+            # The caller has gone or its deadline has passed; it may have got a slot just then.
+            self._cancel(call, waiter)
+            raise
+        return waiter.result
+
+    def _cancel(self, call: QueuedCall, waiter: _Waiter) -> None:
+        self._waiter_by_id.pop(call.call_id, None)
+        if isinstance(waiter.result, Slot):
+            self.release(waiter.result)
+            return
+        self._queue(waiter.need.service).remove(call)
+
+    def _dispatch(self, service: str) -> None:
+        """Reject calls that have waited too long and give free slots to the others."""
+        queue = self._queue(service)
+        now = self._monotonic()
+        self._reject(queue.expire(now))
+        skipped: list[QueuedCall] = []
+        while len(skipped) < MAX_SKIPPED_CALLS:
+            call = queue.take(now)
+            if call is None:
+                break
+            need = self._waiter_by_id[call.call_id].need
+            server = self._chooser.choose(need, now)
+            if server is not None:
+                self._grant(call, server, queue, now)
+                continue
+            skipped.append(call)
+            if not need.avoid:
+                # If no server has a free slot for a call that may go anywhere, none has for others.
+                break
+        for call in skipped:
+            queue.give_back(call)
+
+    def _grant(
+        self, call: QueuedCall, server: BackendRecord, queue: PlaceQueue, now: float
+    ) -> None:
+        self._chooser.silent.sent(server, call.call_id, now)
+        self._chooser.started(server.server_id, now)
+        queue.placed(call)
+        self._waiter_by_id.pop(call.call_id).resolve(Slot(server, now, call))
+
+    def _reject(self, dropped: list[Dropped]) -> None:
+        for dropped_call in dropped:
+            self._waiter_by_id.pop(dropped_call.call.call_id).resolve(dropped_call.refusal)
+
+    def _start_polling(self, service: str) -> None:
+        if service not in self._polling:
+            self._polling.add(service)
+            eventlet.spawn_n(self._poll_loop, service)
+
+    def _poll_loop(self, service: str) -> None:
+        try:
+            while len(self._queue(service)):
+                eventlet.sleep(QUEUE_POLL_S)
+                self._dispatch(service)
+        finally:
+            self._polling.discard(service)
+
+    def _queue(self, service: str) -> PlaceQueue:
+        queue = self._queue_by_service.get(service)
+        if queue is None:
+            queue = PlaceQueue(self._rng)
+            self._queue_by_service[service] = queue
+        return queue
--- a/libs/relay/tarragonhall_relay/_sockets.py
+++ b/libs/relay/tarragonhall_relay/_sockets.py
@@ -1,4 +1,4 @@
-"""Options of sockets, and whether a connection is still as it was left."""
+"""Socket options, and the check whether an idle connection is still usable."""
 
 from __future__ import annotations
 
@@ -6,30 +6,30 @@
 
 from eventlet.green import socket
 
-# Unacknowledged bytes end a connection after this: something between the ends may have lost track
-# of it, and no reset ever comes. Above the usual pause of a machine that has a moment's trouble.
+# A connection is closed when bytes stay unacknowledged for so long: a device in between may have
+# dropped its state, and no reset ever comes. Longer than the usual short pause of a machine.
 USER_TIMEOUT_MS = 2_000
-# Probes of an idle connection, for the same case where nothing is sent.
-KEEP_IDLE_S = 2
-KEEP_INTERVAL_S = 1
-KEEP_PROBES = 3
+# TCP keepalive, for the same fault on idle connections.
+KEEPALIVE_IDLE_S = 2
+KEEPALIVE_INTERVAL_S = 1
+KEEPALIVE_PROBES = 3
 
 
 def set_options(connection) -> None:
-    """Send small writes at once, and find out about dead connections."""
+    """Send small writes at once and detect dead connections."""
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEP_IDLE_S)
-    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEP_INTERVAL_S)
-    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEP_PROBES)
+    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
+    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
+    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
 
 
-def is_quiet(connection) -> bool:
-    """Return whether an idle connection is open and nothing unasked for has arrived on it.
+def is_open_and_idle(connection) -> bool:
+    """Return whether a connection is open and has no unread bytes.
 
-    Bytes that wait belong to no call: the answer to the next one would be read behind them, and a
-    client would get what was meant for another.
+    Unread bytes belong to no call. They would be read as the response to the next one, and a client
+    would get a response that was meant for another.
     """
     try:
         connection.fd.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
--- a/libs/relay/tarragonhall_relay/_state.py
+++ b/libs/relay/tarragonhall_relay/_state.py
@@ -1,4 +1,4 @@
-"""What all calls of one entry share."""
+"""State that all calls of one entry share."""
 
 from __future__ import annotations
 
@@ -19,28 +19,29 @@
 
 from tarragonhall_relay._backend import BackendPool
 from tarragonhall_relay._dialect import Dialect
-from tarragonhall_relay._places import Places
 from tarragonhall_relay._routes import RouteTable
-from tarragonhall_relay._turns import Turns
+from tarragonhall_relay._slots import SlotAllocator
+from tarragonhall_relay._turn_store import TurnStoreClient
 
 
 @dataclass(slots=True)
 class RelayState:
-    """The parts that a call needs.
+    """The components that a call uses.
 
-    `table` is None until the first document has arrived. `is_fresh` says whether control has
-    confirmed lately that it is the newest. `store_zones` are the availability zones of the stores.
+    `table` is None until the first relay document has arrived. `is_fresh` returns whether control
+    has confirmed recently that it is the latest. `store_zones` returns the availability zones of
+    the stores.
     """
 
     dialect: Dialect
     chooser: BackendChooser
-    places: Places
+    slots: SlotAllocator
     pool: BackendPool
-    turns: Turns
+    turn_store: TurnStoreClient
     rates: Rates
-    suspects: CrashSuspects
-    tell_suspect: Callable[[str], None]
-    tell_spent: Callable[[ProgramSpent], None]
+    crash_suspects: CrashSuspects
+    report_suspect: Callable[[str], None]
+    report_exhausted: Callable[[ProgramSpent], None]
     metrics: Metrics
     rng: random.Random
     monotonic: Callable[[], float]
@@ -49,8 +50,8 @@
     region_by_zone: Mapping[str, str]
     store_zones: Callable[[], set[str]]
     cold_slack: ColdSlack = ColdSlack()
-    retries: RetryBudget = field(default_factory=RetryBudget)
-    spent: SpentPrograms = field(default_factory=SpentPrograms)
+    retry_budget: RetryBudget = field(default_factory=RetryBudget)
+    exhausted_programs: SpentPrograms = field(default_factory=SpentPrograms)
     table: RouteTable | None = None
     draining: bool = False
-    calls: int = 0
+    calls_in_flight: int = 0
--- a/libs/relay/tarragonhall_relay/_turns.py
+++ b/libs/relay/tarragonhall_relay/_turn_store.py
@@ -1,4 +1,4 @@
-"""Kept turns and token budgets as an entry uses them: asks the stores, keeps recent content."""
+"""Client of the stores for retained turns and token budgets, with a cache of recent turns."""
 
 from __future__ import annotations
 
@@ -23,34 +23,34 @@
 
 log = structlog.get_logger(__name__)
 
-# Bytes of recent turns kept at an entry for the programs whose calls come through it. Without them
-# each turn would read its whole past from the stores.
-CACHE_BYTES = 12 * 1024 * 1024
-# Reading content from memory takes milliseconds; another store member can be asked after this. A
-# store without power is asked last from then on, until it answers again.
-READ_SECONDS = 0.25
-# A turn that ran is not thrown away because the stores are without a leader for a moment.
-KEEP_SECONDS = 3.0
-# A reservation that is not freed counts against its program for good, so its end is tried for long.
-END_SECONDS = 20.0
+# Without the cache each turn would read its whole history from the stores. A turn has about 5 kB,
+# and a program has tens of them.
+MAX_CACHE_BYTES = 12 * 1024 * 1024
+# A store reads turns from memory within milliseconds; after this timeout another one is tried. A
+# store without power then comes last in the order, until it replies again.
+READ_TIMEOUT_SECONDS = 0.25
+# A completed turn must survive a short time in which the stores have no leader.
+PERSIST_TIMEOUT_SECONDS = 3.0
+# A reservation that is not released counts against its program for good, hence the long timeout.
+RELEASE_TIMEOUT_SECONDS = 20.0
 
 
 @dataclass(slots=True, frozen=True)
 class TurnKey:
-    """Whose turn it is, and what it may generate."""
+    """The ids of a turn and its limits; `retention_ms` is how long it is stored."""
 
     attempt_id: str
     org_id: str
     program_id: str
-    previous: str | None
-    budget: int | None
-    most: int
+    previous_turn: str | None
+    token_budget: int | None
+    max_tokens: int
     retention_ms: int
 
 
 @dataclass(slots=True, frozen=True)
 class OpenTurn:
-    """A turn that may run: what was said before it, and which server ran the turn before."""
+    """A turn that may run, its history, and the server of the previous turn (empty if none)."""
 
     key: TurnKey
     history: bytes
@@ -58,18 +58,18 @@
 
 
 class TurnStoreError(UnavailableError):
-    """The stores could not be asked in time; nothing of the turn ran."""
+    """The stores did not reply in time, and the turn did not run."""
 
 
-class Turns:
-    """What one entry asks the stores."""
+class TurnStoreClient:
+    """Reserves, stores, releases and reads the turns of one entry at the stores."""
 
     __slots__ = (
         "_cache",
         "_cached_bytes",
         "_client",
         "_context",
-        "_empty",
+        "_deferred_stores",
         "_store_addresses",
     )
 
@@ -79,84 +79,86 @@
         self._client = LeaderClient(context, store_addresses)
         self._cache: OrderedDict[str, TurnContent] = OrderedDict()
         self._cached_bytes = 0
-        # Stores that did not answer, or held nothing of what they were last asked for: those that
-        # only stand by would cost each read a round trip for nothing.
-        self._empty: set[str] = set()
+        # Stores that did not reply or had none of the turns last requested are tried last: each
+        # read would waste a round trip on a standby.
+        self._deferred_stores: set[str] = set()
 
-    def begin(self, key: TurnKey, timeout_s: float) -> OpenTurn | BudgetSpent | UnknownTurn:
-        """Reserve a turn's tokens and gather what was said before it.
+    def reserve(self, key: TurnKey, timeout_s: float) -> OpenTurn | BudgetSpent | UnknownTurn:
+        """Reserve a turn's tokens and read its history.
 
-        Raises `TurnStoreError` where the stores cannot tell; nothing has run then.
+        Raises `TurnStoreError` if the stores do not reply; the turn has not run then.
         """
-        if key.budget is None and key.previous is None:
+        if key.token_budget is None and key.previous_turn is None:
             return OpenTurn(key, b"", "")
         command = ReserveTurn(
             key.attempt_id,
             key.org_id,
             key.program_id,
-            key.budget,
-            key.most,
-            key.previous,
+            key.token_budget,
+            key.max_tokens,
+            key.previous_turn,
             key.retention_ms,
         )
         deadline = self._context.monotonic() + timeout_s
         try:
             result = self._client.propose(command, timeout_s)
         except UnavailableError as error:
-            self.end(key, 0)
+            self.release(key, 0)
             raise TurnStoreError(str(error)) from error
         except BaseException:
-            self.end(key, 0)
+            self.release(key, 0)
             raise
         match result:
             case BudgetSpent() | UnknownTurn():
                 return result
             case TurnReserved(chain=chain, server_id=server_id):
-                return self._open(key, chain, server_id, deadline)
-        raise TurnStoreError(f"the stores answered {type(result).__name__}")
+                return self._open_turn(key, chain, server_id, deadline)
+        raise TurnStoreError(f"unexpected reply from the stores: {type(result).__name__}")
 
-    def keep(self, turn: OpenTurn, body: bytes, output: bytes, used: int, server_id: str) -> None:
-        """Record a turn that ended whole; raise `UnavailableError` where that is not sure."""
+    def persist(
+        self, turn: OpenTurn, body: bytes, output: bytes, used: int, server_id: str
+    ) -> None:
+        """Store a completed turn; raise `UnavailableError` if that is uncertain."""
         key = turn.key
         command = KeepTurn(
             key.attempt_id,
             key.org_id,
             key.program_id,
-            key.previous,
+            key.previous_turn,
             body,
             output,
             used,
             server_id,
             key.retention_ms,
         )
-        result = self._client.propose(command, KEEP_SECONDS)
+        result = self._client.propose(command, PERSIST_TIMEOUT_SECONDS)
         if not isinstance(result, TurnRecorded):
-            raise UnavailableError(f"the stores answered {type(result).__name__}")
-        self._remember(TurnContent(key.attempt_id, body, output))
+            raise UnavailableError(f"unexpected reply from the stores: {type(result).__name__}")
+        self._cache_turn(TurnContent(key.attempt_id, body, output))
 
-    def end(self, key: TurnKey, used: int) -> None:
-        """Record, in the background, that a turn ended without being kept."""
-        if key.budget is not None:
-            eventlet.spawn_n(self._end, key, used)
+    def release(self, key: TurnKey, used: int) -> None:
+        """Release, in the background, the reservation of a turn that is not stored."""
+        if key.token_budget is not None:
+            eventlet.spawn_n(self._release, key, used)
 
-    def _end(self, key: TurnKey, used: int) -> None:
+    def _release(self, key: TurnKey, used: int) -> None:
         command = EndTurn(key.attempt_id, key.org_id, key.program_id, used, key.retention_ms)
         try:
-            self._client.propose(command, END_SECONDS)
+            self._client.propose(command, RELEASE_TIMEOUT_SECONDS)
         except UnavailableError as error:
             log.warning("turn.end_unrecorded", id=key.attempt_id, used=used, error=str(error))
 
-    def _open(
+    def _open_turn(
         self, key: TurnKey, chain: list[str], server_id: str, deadline: float
     ) -> OpenTurn | UnknownTurn:
         try:
-            history = self._history(chain, deadline)
+            history = self._read_history(chain, deadline)
         except BaseException:
-            self.end(key, 0)
+            self.release(key, 0)
             raise
         return OpenTurn(key, history, server_id)
 
-    def _history(self, chain: list[str], deadline: float) -> bytes:
+    def _read_history(self, chain: list[str], deadline: float) -> bytes:
         missing = [turn_id for turn_id in chain if turn_id not in self._cache]
         fetched = {one.turn_id: one for one in self._fetch(missing, deadline)}
         parts: list[bytes] = []
@@ -170,40 +172,40 @@
             if turn_id in self._cache:
                 self._cache.move_to_end(turn_id)
         for turn in fetched.values():
-            self._remember(turn)
+            self._cache_turn(turn)
         return b"".join(parts)
 
     def _fetch(self, turn_ids: list[str], deadline: float) -> list[TurnContent]:
-        """Read turns from any store member that holds them."""
+        """Read turns from any store that has them; raise `TurnStoreError` at the deadline."""
         found: dict[str, TurnContent] = {}
         while len(found) < len(turn_ids):
-            for address in sorted(self._store_addresses(), key=self._empty.__contains__):
+            for address in sorted(self._store_addresses(), key=self._deferred_stores.__contains__):
                 wanted = [one for one in turn_ids if one not in found]
                 if not wanted:
                     break
                 try:
                     link = self._context.hub.link_to(address)
-                    reply = link.request(ReadTurns(wanted), READ_SECONDS)
+                    reply = link.request(ReadTurns(wanted), READ_TIMEOUT_SECONDS)
                 except LinkError as error:
                     log.debug("turn.read_failed", address=address, error=str(error))
-                    self._empty.add(address)
+                    self._deferred_stores.add(address)
                     continue
                 if reply.turns:
-                    self._empty.discard(address)
+                    self._deferred_stores.discard(address)
                 else:
-                    self._empty.add(address)
+                    self._deferred_stores.add(address)
                 found |= {one.turn_id: one for one in reply.turns}
             if len(found) < len(turn_ids):
                 if self._context.monotonic() > deadline:
-                    raise TurnStoreError("the turns before could not be read in time")
+                    raise TurnStoreError("the previous turns could not be read in time")
                 eventlet.sleep(0.02)
         return list(found.values())
 
-    def _remember(self, turn: TurnContent) -> None:
+    def _cache_turn(self, turn: TurnContent) -> None:
         if turn.turn_id in self._cache:
             return
         self._cache[turn.turn_id] = turn
         self._cached_bytes += len(turn.input) + len(turn.output)
-        while self._cached_bytes > CACHE_BYTES:
+        while self._cached_bytes > MAX_CACHE_BYTES:
             _turn_id, dropped = self._cache.popitem(last=False)
             self._cached_bytes -= len(dropped.input) + len(dropped.output)
--- a/libs/relay/tests/calls_tests.py
+++ b/libs/relay/tests/calls_tests.py
@@ -177,7 +177,7 @@
     until(lambda: backend.arrived)
     connection.close()
     started = relay.context.monotonic()
-    until(lambda: relay.state.calls == 0)
+    until(lambda: relay.state.calls_in_flight == 0)
     assert relay.context.monotonic() - started < 0.4
 
 
@@ -256,7 +256,7 @@
 
 def test_look_ups_that_are_slow_everywhere_are_not_all_sent_twice(relay):
     # Every server is overloaded and answers late. Twice as many calls would make it worse.
-    relay.state.retries.saved = 0.0
+    relay.state.retry_budget.saved = 0.0
     asked = []
     for _ in range(3):
         relay.backend(silent_first(asked))
--- a/libs/relay/tests/clients_tests.py
+++ b/libs/relay/tests/clients_tests.py
@@ -90,7 +90,7 @@
     relay.backend(slowly)
     connection = relay.connect()
     connection.sendall(request("/buy/", close=False))
-    until(lambda: relay.state.calls == 1)
+    until(lambda: relay.state.calls_in_flight == 1)
     draining = eventlet.spawn(relay.role.drain, 1.0)
     eventlet.sleep(0.05)
     assert not relay.role.ready()
@@ -163,8 +163,8 @@
 
     real, hubs.get_hub = hubs.get_hub, RecordingHub
     try:
-        client.watch()
-        client.unwatch()
+        client.watch_for_close()
+        client.stop_watching()
         added[0](0)
     finally:
         hubs.get_hub = real
--- a/libs/relay/tests/relay_stand_ins.py
+++ b/libs/relay/tests/relay_stand_ins.py
@@ -28,7 +28,7 @@
     RelaySettings,
 )
 from tarragonhall_relay._routes import RouteTable  # noqa: E402
-from tarragonhall_relay._turns import OpenTurn  # noqa: E402
+from tarragonhall_relay._turn_store import OpenTurn  # noqa: E402
 from tarragonhall_wire import (  # noqa: E402
     ControlClient,
     UnavailableError,
@@ -82,32 +82,32 @@
         )
 
 
-class ScriptedTurns:
+class ScriptedTurnStore:
     """Stores whose answers the test sets."""
 
     def __init__(self) -> None:
         self.history = b""
         self.answer = None
-        self.fail_keep = False
-        self.kept = []
-        self.ended = []
-        self.on_keep = lambda: None
+        self.fail_persist = False
+        self.persisted = []
+        self.released = []
+        self.on_persist = lambda: None
 
-    def begin(self, key, _timeout_s):
+    def reserve(self, key, _timeout_s):
         if isinstance(self.answer, BudgetSpent | UnknownTurn):
             return self.answer
         if self.answer is not None:
             raise self.answer
         return OpenTurn(key, self.history, "")
 
-    def keep(self, turn, body, output, used, server_id):
-        self.on_keep()
-        if self.fail_keep:
+    def persist(self, turn, body, output, used, server_id):
+        self.on_persist()
+        if self.fail_persist:
             raise UnavailableError("no leader")
-        self.kept.append((turn.key.attempt_id, body, output, used, server_id))
+        self.persisted.append((turn.key.attempt_id, body, output, used, server_id))
 
-    def end(self, key, used):
-        self.ended.append((key.attempt_id, used))
+    def release(self, key, used):
+        self.released.append((key.attempt_id, used))
 
 
 @dataclasses.dataclass(slots=True)
@@ -229,8 +229,8 @@
             RelaySettings(self.address), context, ControlClient(context), PlainDialect()
         )
         self.state = self.role.state
-        self.turns = ScriptedTurns()
-        self.state.turns = self.turns
+        self.turns = ScriptedTurnStore()
+        self.state.turn_store = self.turns
         self.fresh = True
         self.state.is_fresh = lambda: self.fresh
         self.configure()
--- a/libs/relay/tests/places_tests.py
+++ b/libs/relay/tests/slots_tests.py
@@ -37,9 +37,9 @@
     slow = Slow()
     backend = relay.backend(slow)
     calls = crowd(relay, 20)
-    until(lambda: len(backend.arrived) == SENT and relay.state.places.waiting() == 20 - SENT)
+    until(lambda: len(backend.arrived) == SENT and relay.state.slots.waiting() == 20 - SENT)
     # Calls under way count from their grant on: one may still be on its way to the server.
-    while relay.state.places.waiting() or relay.state.chooser.own_load():
+    while relay.state.slots.waiting() or relay.state.chooser.own_load():
         slow.let_go()
         eventlet.sleep(0.01)
     assert [one.wait()[0] for one in calls] == [200] * 20
@@ -56,11 +56,11 @@
     leaving = [relay.connect() for _ in range(5)]
     for number, connection in enumerate(leaving):
         connection.sendall(request("/buy/", f"left-{number}"))
-    until(lambda: relay.state.places.waiting() == 5)
+    until(lambda: relay.state.slots.waiting() == 5)
     slow.let_go(1)
     for connection in leaving:
         connection.close()
-    until(lambda: relay.state.places.waiting() == 0)
+    until(lambda: relay.state.slots.waiting() == 0)
     slow.let_go()
     assert [one.wait()[0] for one in calls] == [200] * SENT
     until(lambda: relay.state.chooser.own_load() == {})
@@ -122,7 +122,7 @@
         eventlet.spawn(relay.call, "/talk/", attempt=f"u-{n}", program=f"p-{n}", previous="t-0")
         for n in range(SENT + 3)
     ]
-    until(lambda: len(backend.arrived) == SENT and relay.state.places.waiting() == 3)
+    until(lambda: len(backend.arrived) == SENT and relay.state.slots.waiting() == 3)
     eventlet.sleep(0.5)
     started = relay.context.monotonic()
     refused = [relay.call("/talk/", attempt=f"n-{n}", program=f"q-{n}") for n in range(5)]
--- a/libs/relay/tests/reads_tests.py
+++ b/libs/relay/tests/turn_reads_tests.py
@@ -6,7 +6,7 @@
 from types import SimpleNamespace
 
 from tarragonhall_model import RequestTimeoutError, TurnContent, TurnsRead
-from tarragonhall_relay._turns import Turns
+from tarragonhall_relay._turn_store import TurnStoreClient
 
 STORES = ["near:1", "far:1", "standby:1"]
 
@@ -30,9 +30,9 @@
         return SimpleNamespace(request=request)
 
 
-def turns(stores: Stores) -> Turns:
+def turns(stores: Stores) -> TurnStoreClient:
     context = SimpleNamespace(hub=stores, rng=random.Random(1), monotonic=lambda: 0.0)
-    return Turns(context, lambda: STORES)
+    return TurnStoreClient(context, lambda: STORES)
 
 
 def test_a_store_that_does_not_answer_is_asked_last_from_then_on():
--- a/libs/relay/tests/turns_tests.py
+++ b/libs/relay/tests/turns_tests.py
@@ -8,7 +8,7 @@
     BudgetSpent,
     UnknownTurn,
 )
-from tarragonhall_relay._turns import TurnStoreError
+from tarragonhall_relay._turn_store import TurnStoreError
 
 
 def test_a_stream_is_passed_on_event_by_event_and_kept_before_it_ends(relay):
@@ -22,13 +22,13 @@
     relay.backend(talks)
     relay.turns.history = b"before;"
     connection = relay.connect()
-    relay.turns.on_keep = lambda: seen.append(connection.recv(65_536))
+    relay.turns.on_persist = lambda: seen.append(connection.recv(65_536))
     connection.sendall(request("/talk/", body=b"hello"))
     rest = read_all(connection)
     status, _headers, body = parse(seen[0] + rest)
     assert (status, body) == (200, event(1, "good") + event(2, "day"))
     assert b"0\r\n\r\n" not in seen[0]
-    assert relay.turns.kept == [("a-1", b"hello", b"good\nday\n", 2, "i-0")]
+    assert relay.turns.persisted == [("a-1", b"hello", b"good\nday\n", 2, "i-0")]
     assert relay.backends[0].arrived[0].body == b"before;hello"
 
 
@@ -48,7 +48,7 @@
 
     relay.backend(skips)
     assert relay.call("/talk/", body=b"hello")[2] is None
-    assert relay.turns.kept == []
+    assert relay.turns.persisted == []
 
 
 def test_a_stream_that_breaks_off_does_not_look_complete_and_counts_what_went_out(relay):
@@ -58,11 +58,11 @@
 
     relay.backend(crashes)
     assert relay.call("/talk/", body=b"hello", budget="100", most="9")[2] is None
-    until(lambda: relay.turns.ended == [("a-1", 2)])
+    until(lambda: relay.turns.released == [("a-1", 2)])
 
 
 def test_a_turn_that_could_not_be_kept_does_not_look_complete(relay):
-    relay.turns.fail_keep = True
+    relay.turns.fail_persist = True
     relay.backend(lambda _b, arrived: arrived.connection.sendall(stream(arrived, event(1))))
     assert relay.call("/talk/", body=b"hello")[2] is None
 
@@ -83,4 +83,4 @@
 def test_a_turn_that_every_server_refused_frees_its_tokens(relay):
     relay.backend(refuses)
     assert relay.call("/talk/", budget="9", most="5")[0] == 503
-    assert relay.turns.ended == [("a-1", 0)]
+    assert relay.turns.released == [("a-1", 0)]
--- a/libs/relay/tests/waiting_tests.py
+++ b/libs/relay/tests/waiting_tests.py
@@ -51,7 +51,7 @@
     assert relay.call("/buy/")[0] == 200
 
 
-class UnheardRates:
+class UnreachableRateOwner:
     """The owner of every rate is gone, and the reserve is used up."""
 
     def is_dry(self, _org_id):
@@ -72,7 +72,7 @@
     # uses up its few tries before there is another owner, and its program fails.
     organisation = RelayOrganisation("org-1", (KEY,), rate=Rate(10.0, 10.0))
     relay.state.table.organisation_by_key[KEY] = organisation
-    relay.state.rates = UnheardRates()
+    relay.state.rates = UnreachableRateOwner()
     status, headers, _body = relay.call("/buy/")
     assert status == 503
     assert float(headers["retry-after"]) >= 0.5
@@ -87,8 +87,8 @@
     def is_dry(self, _org_id):
         return True
 
-    def take(self, _org_id, _call_id, _deadline, under_way, _run_s=None):
-        self.taken.append(under_way)
+    def take(self, _org_id, _call_id, _deadline, program_started, _run_s=None):
+        self.taken.append(program_started)
 
     def give_back(self, _org_id):
         return
