--- a/libs/relay/tests/calls_tests.py
+++ b/libs/relay/tests/calls_tests.py
@@ -1,39 +1,39 @@
-"""Passed-on calls while backend servers and clients misbehave, judged by what both see."""
+"""Relayed calls with misbehaving backend servers and clients, judged by what both receive."""
 
 from __future__ import annotations
 
 import eventlet
 import pytest
-from relay_stand_ins import answer, answers, refuses, request, until
+from relay_stand_ins import answer, answers, refuses, request, wait_until
 
 
-def breaks_off(_backend, _arrived):
+def closes_connection(_backend, _received):
     return "close"
 
 
-def test_a_call_reaches_its_server_unchanged_and_without_its_key(relay):
+def test_call_reaches_server_unchanged_but_without_key(relay):
     backend = relay.backend(answers(body=b"sold"))
     status, headers, body = relay.call("/buy/x?n=1", body=b"two", colour="red")
     assert (status, body) == (200, b"sold")
     assert headers["signed"] == "yes"
-    arrived = backend.arrived[0]
-    assert arrived.head.startswith(b"POST /buy/x?n=1 HTTP/1.1")
-    assert arrived.body == b"two"
-    assert (arrived.header("org"), arrived.header("key")) == ("org-1", None)
-    assert arrived.header("expect") == "i-0"
-    assert arrived.header("colour") == "red"
-    assert 4_000 > int(arrived.header("deadline")) > 2_000
+    received = backend.received[0]
+    assert received.head.startswith(b"POST /buy/x?n=1 HTTP/1.1")
+    assert received.body == b"two"
+    assert (received.header("org"), received.header("key")) == ("org-1", None)
+    assert received.header("expect") == "i-0"
+    assert received.header("colour") == "red"
+    assert 4_000 > int(received.header("deadline")) > 2_000
 
 
-def test_the_longest_prefix_decides_and_unknown_routes_and_keys_are_refused(relay):
+def test_unknown_routes_and_keys_are_rejected(relay):
     relay.backend(answers())
     assert relay.call("/nowhere/")[0] == 404
     assert relay.call("/look/", key="other")[0] == 401
 
 
-def test_a_relay_that_hears_nothing_of_control_denies_nothing(relay):
-    # The entry is cut off from control. A route or key may have been added meanwhile; told that it
-    # does not exist, a program would end for good.
+def test_stale_relay_does_not_reject_unknown_routes_or_keys_for_good(relay):
+    # The entry cannot reach control, and a route or key may have been added meanwhile. A 404 or 401
+    # would end a program for good.
     relay.fresh = False
     relay.backend(answers())
     status, headers, _body = relay.call("/nowhere/")
@@ -43,17 +43,17 @@
     assert relay.call("/look/")[0] == 200
 
 
-def test_a_refused_call_is_sent_to_another_server(relay):
-    # One server is full and says that it did not run the call: another one may.
+def test_call_refused_by_one_server_is_sent_to_another(relay):
+    # A full server responds that it did not run the call, so another one may run it.
     full = relay.backend(refuses)
-    free = relay.backend(answers())
+    available = relay.backend(answers())
     for number in range(6):
         assert relay.call("/buy/", attempt=f"a-{number}")[0] == 200
-    assert len(free.arrived) == 6
-    assert len(full.arrived) <= 6
+    assert len(available.received) == 6
+    assert len(full.received) <= 6
 
 
-def test_a_call_that_every_server_refuses_is_refused_with_a_time_to_come_back(relay):
+def test_call_refused_by_every_server_is_rejected_with_retry_after(relay):
     for _ in range(3):
         relay.backend(refuses)
     status, headers, _body = relay.call("/buy/")
@@ -61,23 +61,23 @@
     assert 0 < float(headers["retry-after"]) < 1
 
 
-def test_a_call_that_may_have_run_is_never_sent_again(relay):
-    # The server broke off after it had the call: the district may have been billed. Sent again it
-    # would be billed twice; told "not run" the caller would send it again.
-    servers = [relay.backend(breaks_off) for _ in range(3)]
+def test_non_idempotent_call_that_may_have_run_is_not_retried(relay):
+    # The server closes the connection after it received the call, which may have billed a district.
+    # If the relay sent it again, or told the caller that it did not run, it would be billed twice.
+    servers = [relay.backend(closes_connection) for _ in range(3)]
     status, headers, _body = relay.call("/buy/")
     assert status == 502
     assert "retry-after" not in headers
-    assert sum(len(one.arrived) for one in servers) == 1
+    assert sum(len(one.received) for one in servers) == 1
 
 
-def test_a_look_up_that_may_have_run_is_sent_again_within_its_attempts(relay):
-    servers = [relay.backend(breaks_off) for _ in range(4)]
+def test_idempotent_call_that_may_have_run_is_retried_up_to_max_attempts(relay):
+    servers = [relay.backend(closes_connection) for _ in range(4)]
     assert relay.call("/look/", method="GET")[0] == 502
-    assert sum(len(one.arrived) for one in servers) == 2
+    assert sum(len(one.received) for one in servers) == 2
 
 
-def test_a_server_that_cannot_be_reached_costs_a_call_nothing(relay):
+def test_unreachable_server_does_not_fail_calls(relay):
     gone = relay.backend(answers())
     gone.stop()
     relay.backend(answers())
@@ -85,37 +85,39 @@
         assert relay.call("/buy/", attempt=f"a-{number}")[0] == 200
 
 
-def test_a_status_that_promises_too_much_is_not_passed_on(relay):
-    # A server answers 503 without saying that it did not run the call. Passed on, the caller would
-    # take it as a promise and send a payment again.
-    def claims(_backend, arrived):
-        arrived.connection.sendall(answer(arrived, status="503 Service Unavailable"))
+def test_503_without_not_run_header_is_not_relayed(relay):
+    # A server responds 503 without the header that the call did not run. The caller would take the
+    # status as proof that it did not and send a payment again.
+    def responds_503(_backend, received):
+        received.connection.sendall(answer(received, status="503 Service Unavailable"))
 
-    relay.backend(claims)
+    relay.backend(responds_503)
     assert relay.call("/buy/")[0] == 502
 
 
-def test_a_success_without_proof_of_origin_is_not_passed_on(relay):
-    def forges(_backend, arrived):
-        arrived.connection.sendall(b"HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nfake")
+def test_success_without_proof_of_origin_is_not_relayed(relay):
+    def responds_unsigned(_backend, received):
+        received.connection.sendall(b"HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nfake")
 
-    relay.backend(forges)
+    relay.backend(responds_unsigned)
     assert relay.call("/buy/")[0] == 502
 
 
-def test_a_server_at_anothers_address_is_not_taken_for_it(relay):
-    # A server ended and its address was given to another one, which says that it is not meant.
-    def is_another(_backend, arrived):
-        arrived.connection.sendall(b"HTTP/1.1 421 Misdirected Request\r\ncontent-length: 0\r\n\r\n")
+def test_misdirected_call_is_sent_to_another_server(relay):
+    # A server has stopped and its address was reused by another one, which responds 421.
+    def responds_misdirected(_backend, received):
+        received.connection.sendall(
+            b"HTTP/1.1 421 Misdirected Request\r\ncontent-length: 0\r\n\r\n"
+        )
 
-    relay.backend(is_another)
+    relay.backend(responds_misdirected)
     relay.backend(answers())
     for number in range(4):
         assert relay.call("/buy/", attempt=f"a-{number}")[0] == 200
 
 
 @pytest.mark.parametrize(
-    "garbage",
+    "data",
     [
         b"this is no answer\r\n\r\n",
         b"HTTP/1.1 200 OK\r\nattempt: a-1\r\nsigned: yes\r\ncontent-length: 50\r\n\r\nshort",
@@ -124,144 +126,144 @@
         b"",
     ],
 )
-def test_an_answer_that_is_cut_or_garbled_never_looks_whole(relay, garbage):
-    def garbles(_backend, arrived):
-        arrived.connection.sendall(garbage)
+def test_truncated_or_invalid_response_is_a_502(relay, data):
+    def sends_invalid_data(_backend, received):
+        received.connection.sendall(data)
         return "close"
 
-    relay.backend(garbles)
+    relay.backend(sends_invalid_data)
     status, _headers, _body = relay.call("/buy/")
     assert status == 502
 
 
-def test_an_answer_without_length_ends_with_its_connection(relay):
-    def unframed(_backend, arrived):
-        arrived.connection.sendall(
+def test_response_without_length_ends_with_its_connection(relay):
+    def responds_without_length(_backend, received):
+        received.connection.sendall(
             b"HTTP/1.1 200 OK\r\nattempt: a-1\r\nsigned: yes\r\n\r\nall of it"
         )
         return "close"
 
-    relay.backend(unframed)
+    relay.backend(responds_without_length)
     assert relay.call("/buy/")[2] == b"all of it"
 
 
-def test_a_second_answer_is_not_given_to_the_next_caller(relay):
-    # A server sends one answer twice. The second one waits on the connection, where the answer to
-    # the next call is expected: that caller would get what was meant for another.
-    def doubles(_backend, arrived):
-        arrived.connection.sendall(answer(arrived, body=arrived.body) * 2)
+def test_duplicate_response_is_not_sent_to_the_next_client(relay):
+    # A server sends a response twice. The second one stays unread on the connection, and the next
+    # client would get it as the response to its own call.
+    def responds_twice(_backend, received):
+        received.connection.sendall(answer(received, body=received.body) * 2)
 
-    backend = relay.backend(doubles)
+    backend = relay.backend(responds_twice)
     for number in range(5):
         body = f"call {number}".encode()
         assert relay.call("/buy/", attempt=f"a-{number}", body=body)[2] == body
     assert backend.connections > 1
 
 
-def test_an_answer_of_an_earlier_call_that_comes_late_is_dropped(relay):
-    # The answer to an earlier attempt arrives on the connection after the next call was sent.
-    def late(_backend, arrived):
+def test_late_response_to_an_earlier_call_is_skipped(relay):
+    # The response to an earlier attempt arrives on the connection after the next call was sent.
+    def responds_late_to_another(_backend, received):
         other = b"HTTP/1.1 200 OK\r\nattempt: older\r\nsigned: yes\r\ncontent-length: 3\r\n\r\nold"
-        arrived.connection.sendall(other + answer(arrived, body=b"new"))
+        received.connection.sendall(other + answer(received, body=b"new"))
 
-    relay.backend(late)
+    relay.backend(responds_late_to_another)
     assert relay.call("/buy/")[2] == b"new"
 
 
-def test_a_client_that_leaves_ends_the_work_of_its_call(relay):
-    # The caller closed its connection. A server that goes on works for nobody, and its place is
-    # missing to others.
-    backend = relay.backend(lambda _backend, _arrived: eventlet.sleep(3))
+def test_client_disconnect_cancels_its_call(relay):
+    # The client closes its connection. If the server continued, its work would be wasted and its
+    # slot missing for other calls.
+    backend = relay.backend(lambda _backend, _received: eventlet.sleep(3))
     connection = relay.connect()
     connection.sendall(request("/look/", method="GET"))
-    until(lambda: backend.arrived)
+    wait_until(lambda: backend.received)
     connection.close()
     started = relay.context.monotonic()
-    until(lambda: relay.state.calls_in_flight == 0)
+    wait_until(lambda: relay.state.calls_in_flight == 0)
     assert relay.context.monotonic() - started < 0.4
 
 
-def test_a_silent_server_is_given_up_when_the_time_of_the_route_is_over(relay):
-    relay.backend(lambda _backend, _arrived: eventlet.sleep(3))
+def test_unresponsive_server_is_abandoned_at_the_route_timeout(relay):
+    relay.backend(lambda _backend, _received: eventlet.sleep(3))
     started = relay.context.monotonic()
     assert relay.call("/quick/", method="GET")[0] == 504
     assert 0.15 < relay.context.monotonic() - started < 0.6
 
 
-def test_a_request_that_breaks_every_server_reaches_three_and_no_more(relay):
-    # One request crashes each server that begins to run it, and its caller sends it again as a new
-    # attempt. Unbarred it would take down all of them.
-    servers = [relay.backend(breaks_off) for _ in range(8)]
+def test_request_that_crashes_servers_reaches_at_most_three(relay):
+    # A request crashes each server that runs it, and its client retries it as a new attempt. Unless
+    # it is quarantined, it takes down all servers.
+    servers = [relay.backend(closes_connection) for _ in range(8)]
     statuses = [relay.call("/buy/", attempt=f"a-{n}", body=b"bad")[0] for n in range(6)]
     assert statuses == [502, 502, 502, 503, 503, 503]
-    assert sum(len(one.arrived) for one in servers) == 3
+    assert sum(len(one.received) for one in servers) == 3
     assert relay.call("/buy/", attempt="b-1", body=b"good")[0] == 502
 
 
-def test_a_look_up_that_may_have_run_is_not_said_not_to_have_run(relay):
-    # One server breaks off after it had the call, and the only other one is full. "Not run" would
-    # be false, and the caller may rely on it.
-    broken = relay.backend(breaks_off)
+def test_idempotent_call_that_may_have_run_is_not_reported_as_not_run(relay):
+    # One server closes the connection after it received the call, and the only other one is full.
+    # A response that the call did not run would be false, and the client may rely on it.
+    broken = relay.backend(closes_connection)
     full = relay.backend(refuses)
     relay.state.chooser.refused(full.server_id, relay.context.monotonic() + 60)
     status, headers, _body = relay.call("/look/", method="GET")
-    assert len(broken.arrived) == 1
+    assert len(broken.received) == 1
     assert (status, "retry-after" in headers) == (502, False)
 
 
-def silent_first(servers_asked):
-    """Return a script: whichever server is asked first never answers, all others do at once."""
+def first_never_responds(called_servers):
+    """Return a script for all servers: the first call gets no response, later ones do at once."""
 
-    def script(backend, arrived):
-        servers_asked.append(backend.server_id)
-        if len(servers_asked) == 1:
+    def script(backend, received):
+        called_servers.append(backend.server_id)
+        if len(called_servers) == 1:
             eventlet.sleep(3)
             return
-        answers()(backend, arrived)
+        answers()(backend, received)
 
     return script
 
 
-def learn_look_ups(relay, route="look"):
-    """Let the relay know that such calls take ten milliseconds."""
+def record_call_times(relay, route="look"):
+    """Record 40 calls of ten milliseconds, so that the relay knows how long such calls take."""
     for _ in range(40):
         relay.state.chooser.pace("desk").call_ended("i-0", route, 10.0, 0.0)
 
 
-def test_a_look_up_whose_answer_is_lost_is_sent_to_another_server(relay):
-    # A server runs a look-up and its answer is lost without a word. The caller would wait until its
-    # time is over, and its whole program would fail with this one call.
-    asked = []
+def test_idempotent_call_with_lost_response_is_sent_to_another_server(relay):
+    # A server runs an idempotent call and its response is lost. The client would wait until its
+    # deadline, and its whole program would fail with this one call.
+    called = []
     for _ in range(3):
-        relay.backend(silent_first(asked))
-    learn_look_ups(relay)
+        relay.backend(first_never_responds(called))
+    record_call_times(relay)
     started = relay.context.monotonic()
     assert relay.call("/look/", method="GET")[0] == 200
     assert relay.context.monotonic() - started < 1.0
-    assert len(set(asked)) == len(asked) == 2
+    assert len(set(called)) == len(called) == 2
 
 
-def test_an_action_whose_answer_is_lost_is_not_sent_again(relay):
-    # The same with a booking: sent to another server the gear would be booked twice.
-    asked = []
+def test_non_idempotent_call_with_lost_response_is_not_retried(relay):
+    # If a booking whose response is lost were sent to another server, it would be made twice.
+    called = []
     for _ in range(3):
-        relay.backend(silent_first(asked))
-    learn_look_ups(relay, "quick")
-    learn_look_ups(relay, "buy")
+        relay.backend(first_never_responds(called))
+    record_call_times(relay, "quick")
+    record_call_times(relay, "buy")
     client = eventlet.spawn(relay.call, "/buy/")
     eventlet.sleep(0.5)
     client.kill()
-    assert len(asked) == 1
+    assert len(called) == 1
 
 
-def test_look_ups_that_are_slow_everywhere_are_not_all_sent_twice(relay):
-    # Every server is overloaded and answers late. Twice as many calls would make it worse.
+def test_slow_idempotent_calls_are_not_retried_without_retry_budget(relay):
+    # Every server is overloaded and responds late; retries would double the load.
     relay.state.retry_budget.saved = 0.0
-    asked = []
+    called = []
     for _ in range(3):
-        relay.backend(silent_first(asked))
-    learn_look_ups(relay)
+        relay.backend(first_never_responds(called))
+    record_call_times(relay)
     client = eventlet.spawn(relay.call, "/look/", method="GET")
     eventlet.sleep(0.5)
     client.kill()
-    assert len(asked) == 1
+    assert len(called) == 1
--- a/libs/relay/tests/clients_tests.py
+++ b/libs/relay/tests/clients_tests.py
@@ -1,4 +1,4 @@
-"""What clients send that is no proper request, and connections around a graceful stop."""
+"""Invalid requests of clients, and client connections during a graceful stop."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import eventlet.green.socket
 import pytest
 from eventlet import hubs
-from relay_stand_ins import answer, answers, parse, read_all, request, until
+from relay_stand_ins import answer, answers, parse, read_all, request, wait_until
 from tarragonhall_model import ClientLimits
 from tarragonhall_relay._client import ClientConnection
 
@@ -29,68 +29,68 @@
         b"no request at all\r\n\r\n",
     ],
 )
-def test_what_could_be_framed_in_two_ways_reaches_no_server(relay, data):
-    # Two readers of the same bytes disagree where a request ends. What one takes for a body the
-    # other takes for a request, which nobody sent and which runs under somebody's key.
+def test_ambiguous_or_invalid_request_reaches_no_server(relay, data):
+    # Request smuggling: two parsers disagree on where a request ends. What is a body to one is a
+    # request to the other, which nobody sent and which runs under somebody's key.
     backend = relay.backend(answers())
     status, headers, _body = parse(relay.raw(data))
     assert status in (400, 501)
     assert headers["connection"] == "close"
-    assert backend.arrived == []
+    assert backend.received == []
 
 
-def test_a_request_inside_a_body_stays_a_body(relay):
+def test_request_inside_a_body_is_not_run(relay):
     inner = request("/look/", attempt="inner", method="GET")
     backend = relay.backend(answers())
     assert relay.call("/buy/", body=inner)[0] == 200
-    assert [one.body for one in backend.arrived] == [inner]
+    assert [one.body for one in backend.received] == [inner]
 
 
-def test_a_body_in_chunks_arrives_whole(relay):
+def test_chunked_body_is_relayed_complete(relay):
     backend = relay.backend(answers())
     head = request("/buy/").replace(b"content-length: 0", b"transfer-encoding: chunked")
     assert parse(relay.raw(head + b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"))[0] == 200
-    assert backend.arrived[0].body == b"abcde"
+    assert backend.received[0].body == b"abcde"
 
 
-def test_oversized_heads_and_bodies_are_refused_before_they_are_read(relay):
+def test_oversized_heads_and_bodies_are_rejected(relay):
     relay.configure(limits=ClientLimits(max_header_bytes=1_000, max_body_bytes=10))
     backend = relay.backend(answers())
     assert relay.call("/buy/", body=b"x" * 11)[0] == 413
     assert parse(relay.raw(request("/buy/", long="y" * 2_000)))[0] == 431
     head = request("/buy/").replace(b"content-length: 0", b"transfer-encoding: chunked")
     assert parse(relay.raw(head + b"b\r\nabcdefghijk\r\n0\r\n\r\n"))[0] == 413
-    assert backend.arrived == []
+    assert backend.received == []
 
 
-def test_a_head_that_does_not_come_to_its_end_is_refused(relay):
+def test_incomplete_head_times_out(relay):
     relay.configure(limits=ClientLimits(header_timeout_ms=100))
     assert parse(relay.raw(b"POST /buy/ HTTP/1.1\r\nhost: sh"))[0] == 408
 
 
-def test_an_idle_connection_is_closed_in_its_time(relay):
+def test_idle_connection_is_closed_after_its_timeout(relay):
     relay.configure(limits=ClientLimits(idle_timeout_ms=100))
     assert relay.raw(b"") == b""
 
 
 def test_calls_on_one_connection_are_answered_in_order(relay):
-    relay.backend(lambda _b, arrived: arrived.connection.sendall(answer(arrived, arrived.body)))
+    relay.backend(lambda _b, received: received.connection.sendall(answer(received, received.body)))
     first = request("/buy/", "a-1", b"one", close=False)
     data = relay.raw(first + request("/buy/", "a-2", b"two"))
     assert data.index(b"one") < data.index(b"two")
 
 
-def test_a_stop_finishes_what_is_at_hand_and_says_that_it_closes(relay):
-    # The platform stops the process while a call runs. Cut off, the caller would not know whether
-    # its booking was made.
-    def slowly(_backend, arrived):
+def test_drain_finishes_running_calls_and_announces_the_close(relay):
+    # The platform stops the process while a call runs. If the call were cut off, its client would
+    # not know whether its booking was made.
+    def responds_slowly(_backend, received):
         eventlet.sleep(0.4)
-        arrived.connection.sendall(answer(arrived))
+        received.connection.sendall(answer(received))
 
-    relay.backend(slowly)
+    relay.backend(responds_slowly)
     connection = relay.connect()
     connection.sendall(request("/buy/", close=False))
-    until(lambda: relay.state.calls_in_flight == 1)
+    wait_until(lambda: relay.state.calls_in_flight == 1)
     draining = eventlet.spawn(relay.role.drain, 1.0)
     eventlet.sleep(0.05)
     assert not relay.role.ready()
@@ -99,39 +99,39 @@
     assert draining.wait()
 
 
-def test_a_stopping_relay_still_serves_who_comes_before_the_balancer_knows(relay):
+def test_draining_relay_serves_new_clients_until_the_balancer_removes_it(relay):
     relay.backend(answers())
     eventlet.spawn(relay.role.drain, 2.0)
     eventlet.sleep(0.05)
     assert relay.call("/buy/")[0] == 200
 
 
-def test_no_request_is_taken_and_then_dropped_at_the_end_of_a_stop(relay):
-    # Everything at hand is finished and the process says goodbye to control. A client uses its open
-    # connection in that moment; taken and dropped, its booking would be cut off midway.
-    def slowly(_backend, arrived):
+def test_no_request_is_accepted_and_dropped_at_the_end_of_a_drain(relay):
+    # All calls are finished and the process sends its leave notice to control. A client uses its
+    # open connection at that moment; its booking must not be accepted and then cut off.
+    def responds_slowly(_backend, received):
         eventlet.sleep(0.6)
-        arrived.connection.sendall(answer(arrived))
+        received.connection.sendall(answer(received))
 
-    backend = relay.backend(slowly)
+    backend = relay.backend(responds_slowly)
     connection = relay.connect()
     connection.sendall(request("/buy/", close=False))
-    until(lambda: backend.arrived)
+    wait_until(lambda: backend.received)
     other = relay.connect()
     other.sendall(request("/buy/", "a-0", close=False))
     assert b"done" in other.recv(65_536)
     stopping = eventlet.spawn(lambda: relay.role.drain(2.0) and relay.role.stop())
     eventlet.sleep(1.1)
-    reads = len(backend.arrived)
+    received_before = len(backend.received)
     with contextlib.suppress(OSError):
         other.sendall(request("/buy/", "a-2", close=False))
     data = read_all(other)
     stopping.wait()
-    if len(backend.arrived) > reads:
+    if len(backend.received) > received_before:
         assert parse(data)[2] == b"done"
 
 
-def test_a_stop_ends_although_clients_keep_their_connections_open(relay):
+def test_drain_ends_although_clients_keep_connections_open(relay):
     relay.backend(answers())
     connection = relay.connect()
     connection.sendall(request("/buy/", close=False))
@@ -142,9 +142,9 @@
     assert read_all(connection) == b""
 
 
-def test_a_client_that_leaves_as_its_call_ends_interrupts_nothing_else(relay):
-    # The answer and the client's end arrive in the same round of the loop. Told of the end after
-    # the call is over, the thread would be interrupted in the middle of the next call, or be gone.
+def test_client_that_disconnects_as_its_call_ends_interrupts_nothing_else(relay):
+    # The response and the client's close are handled in the same round of the event loop. An error
+    # raised after the call has ended would hit the next call, or a thread that has ended.
     client = ClientConnection(eventlet.green.socket.socket(), ClientLimits())
     added = []
 
--- a/libs/relay/tests/conftest.py
+++ b/libs/relay/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Make the stand-ins beside the tests importable, and give each test a relay of its own."""
+"""Makes the test doubles in this folder importable and gives each test its own relay."""
 
 from __future__ import annotations
 
@@ -14,6 +14,6 @@
 
 @pytest.fixture
 def relay():
-    made = Relay()
-    yield made
-    made.stop()
+    instance = Relay()
+    yield instance
+    instance.stop()
--- a/libs/relay/tests/relay_stand_ins.py
+++ b/libs/relay/tests/relay_stand_ins.py
@@ -1,4 +1,4 @@
-"""A relay on loopback before scripted backend servers, with stores that the test controls."""
+"""Test doubles: a relay on loopback with scripted backend servers and a scripted turn store."""
 
 from __future__ import annotations
 
@@ -40,15 +40,15 @@
 KEY = "key-1"
 
 
-def until(condition, seconds: float = WAIT_SECONDS) -> None:
-    """Wait for a condition."""
+def wait_until(condition, seconds: float = WAIT_SECONDS) -> None:
+    """Wait for a condition; raise a timeout error after `seconds`."""
     with eventlet.Timeout(seconds):
         while not condition():
             eventlet.sleep(0.005)
 
 
 class PlainDialect:
-    """Header names of the tests' own."""
+    """Dialect with short header names for tests."""
 
     def read_call(self, headers):
         by_name = {name: value.decode() for name, value in headers}
@@ -64,12 +64,12 @@
         )
 
     def write_call(self, headers, dispatch):
-        kept = [(name, value) for name, value in headers if name not in (b"key", b"deadline")]
-        kept.append((b"expect", dispatch.server_id.encode()))
-        kept.append((b"deadline", str(dispatch.deadline_ms).encode()))
+        written = [(name, value) for name, value in headers if name not in (b"key", b"deadline")]
+        written.append((b"expect", dispatch.server_id.encode()))
+        written.append((b"deadline", str(dispatch.deadline_ms).encode()))
         if dispatch.org_id is not None:
-            kept.append((b"org", dispatch.org_id.encode()))
-        return kept
+            written.append((b"org", dispatch.org_id.encode()))
+        return written
 
     def read_answer(self, headers):
         by_name = dict(headers)
@@ -83,21 +83,21 @@
 
 
 class ScriptedTurnStore:
-    """Stores whose answers the test sets."""
+    """Turn store whose results the test sets; it records what it was sent."""
 
     def __init__(self) -> None:
         self.history = b""
-        self.answer = None
+        self.reserve_result = None
         self.fail_persist = False
         self.persisted = []
         self.released = []
         self.on_persist = lambda: None
 
     def reserve(self, key, _timeout_s):
-        if isinstance(self.answer, BudgetSpent | UnknownTurn):
-            return self.answer
-        if self.answer is not None:
-            raise self.answer
+        if isinstance(self.reserve_result, BudgetSpent | UnknownTurn):
+            return self.reserve_result
+        if self.reserve_result is not None:
+            raise self.reserve_result
         return OpenTurn(key, self.history, "")
 
     def persist(self, turn, body, output, used, server_id):
@@ -111,8 +111,8 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Arrived:
-    """A request as a backend server read it."""
+class ReceivedRequest:
+    """A request that a backend server has received."""
 
     head: bytes
     body: bytes
@@ -120,19 +120,19 @@
 
     def header(self, name: str) -> str | None:
         for line in self.head.decode("latin-1").split("\r\n")[1:]:
-            found, _, value = line.partition(":")
-            if found.strip().lower() == name:
+            header_name, _, value = line.partition(":")
+            if header_name.strip().lower() == name:
                 return value.strip()
         return None
 
 
 class Backend:
-    """A backend server that runs one script for each request that reaches it."""
+    """A backend server that runs a script for each request; `"close"` closes the connection."""
 
     def __init__(self, server_id: str, script) -> None:
         self.server_id = server_id
         self.script = script
-        self.arrived: list[Arrived] = []
+        self.received: list[ReceivedRequest] = []
         self.closed = 0
         self.connections = 0
         self.address = free_address()
@@ -164,12 +164,12 @@
                         return
                     buffer += data
                 head, _, buffer = buffer.partition(b"\r\n\r\n")
-                request = Arrived(head, b"", connection)
+                request = ReceivedRequest(head, b"", connection)
                 length = int(request.header("content-length") or 0)
                 while len(buffer) < length:
                     buffer += connection.recv(65_536)
                 request.body, buffer = buffer[:length], buffer[length:]
-                self.arrived.append(request)
+                self.received.append(request)
                 if self.script(self, request) == "close":
                     connection.close()
                     return
@@ -178,9 +178,9 @@
 
 
 def answer(
-    request: Arrived, body: bytes = b"done", status: str = "200 OK", extra: str = ""
+    request: ReceivedRequest, body: bytes = b"done", status: str = "200 OK", extra: str = ""
 ) -> bytes:
-    """Return a whole signed answer to a request."""
+    """Return a complete signed response to a request."""
     attempt = request.header("attempt")
     head = f"HTTP/1.1 {status}\r\nattempt: {attempt}\r\nsigned: yes\r\n{extra}"
     return head.encode() + f"content-length: {len(body)}\r\n\r\n".encode() + body
@@ -190,8 +190,8 @@
     return f"id: {number}\ndata: {data}\n\n".encode()
 
 
-def stream(request: Arrived, *events: bytes, end: bool = True) -> bytes:
-    """Return a stream in chunks, whole or broken off."""
+def stream(request: ReceivedRequest, *events: bytes, end: bool = True) -> bytes:
+    """Return a chunked stream response, complete or without its last chunk."""
     head = f"HTTP/1.1 200 OK\r\nattempt: {request.header('attempt')}\r\nsigned: yes\r\n"
     data = head.encode() + b"transfer-encoding: chunked\r\n\r\n"
     for one in events:
@@ -200,7 +200,7 @@
 
 
 def answers(**options):
-    """Return a script that answers each request whole."""
+    """Return a script that sends a complete response to each request."""
 
     def script(_backend, request):
         request.connection.sendall(answer(request, **options))
@@ -217,7 +217,7 @@
 
 
 class Relay:
-    """One relay, its backend servers, and connections of clients to it."""
+    """A relay with its backend servers, and calls of clients to it."""
 
     def __init__(self) -> None:
         context = make_context(
@@ -229,8 +229,8 @@
             RelaySettings(self.address), context, ControlClient(context), PlainDialect()
         )
         self.state = self.role.state
-        self.turns = ScriptedTurnStore()
-        self.state.turn_store = self.turns
+        self.turn_store = ScriptedTurnStore()
+        self.state.turn_store = self.turn_store
         self.fresh = True
         self.state.is_fresh = lambda: self.fresh
         self.configure()
@@ -247,18 +247,18 @@
         self.state.table = RouteTable(config)
 
     def backend(self, script, server_id: str = "") -> Backend:
-        made = Backend(server_id or f"i-{len(self.backends)}", script)
-        self.backends.append(made)
+        backend = Backend(server_id or f"i-{len(self.backends)}", script)
+        self.backends.append(backend)
         records = [one.record() for one in self.backends]
         self.state.chooser.set_servers(records, self.state.monotonic())
-        return made
+        return backend
 
     def connect(self):
         host, _, port = self.address.rpartition(":")
         return socket.create_connection((host, int(port)))
 
     def raw(self, data: bytes, seconds: float = WAIT_SECONDS) -> bytes:
-        """Send bytes on a new connection and return all that comes until it closes."""
+        """Send bytes on a new connection and return all that is received until it closes."""
         connection = self.connect()
         connection.sendall(data)
         return read_all(connection, seconds)
@@ -266,7 +266,7 @@
     def call(
         self, path: str, attempt: str = "a-1", body: bytes = b"", method: str = "POST", **headers
     ) -> tuple[int, dict[str, str], bytes]:
-        """Make one call on a connection of its own; the body is None where it broke off."""
+        """Make one call on a new connection; the body is None if the response is incomplete."""
         return parse(self.raw(request(path, attempt, body, method, **headers)))
 
     def stop(self) -> None:
@@ -300,7 +300,7 @@
 
 
 def parse(data: bytes) -> tuple[int, dict[str, str], bytes | None]:
-    """Return status, headers and body of one answer; None for a body that is not whole."""
+    """Return status, headers and body of one response; the body is None if it is incomplete."""
     head, _, rest = data.partition(b"\r\n\r\n")
     lines = head.decode("latin-1").split("\r\n")
     status = int(lines[0].split()[1]) if lines[0] else 0
@@ -310,8 +310,8 @@
         headers[name.strip().lower()] = value.strip()
     if headers.get("transfer-encoding") == "chunked":
         return status, headers, _dechunk(rest)
-    whole = len(rest) == int(headers.get("content-length", 0))
-    return status, headers, rest if whole else None
+    complete = len(rest) == int(headers.get("content-length", 0))
+    return status, headers, rest if complete else None
 
 
 def _dechunk(data: bytes) -> bytes | None:
@@ -328,19 +328,19 @@
 
 
 def full_until(relay: Relay, free_at: float):
-    """Return a script that refuses until a moment and answers from then on."""
+    """Return a script that refuses until `free_at` (monotonic seconds) and responds after."""
 
-    def script(backend, arrived):
+    def script(backend, received):
         if relay.context.monotonic() < free_at:
-            refuses(backend, arrived)
+            refuses(backend, received)
         else:
-            arrived.connection.sendall(answer(arrived))
+            received.connection.sendall(answer(received))
 
     return script
 
 
-def refuses(_backend, arrived):
-    """Answer that the call was not run, as a full server does."""
-    arrived.connection.sendall(
+def refuses(_backend, received):
+    """Respond that the call was not run, as a full server does."""
+    received.connection.sendall(
         b"HTTP/1.1 503 Service Unavailable\r\nnot-run: 1\r\ncontent-length: 0\r\n\r\n"
     )
--- a/libs/relay/tests/slots_tests.py
+++ b/libs/relay/tests/slots_tests.py
@@ -1,133 +1,135 @@
-"""Calls that wait for places: each place is given back, whatever becomes of the call."""
+"""Calls that wait for slots: each slot is released, however its call ends."""
 
 from __future__ import annotations
 
 import eventlet
-from relay_stand_ins import answer, answers, event, full_until, request, stream, until
+from relay_stand_ins import answer, answers, event, full_until, request, stream, wait_until
 from tarragonhall_model import Route
 
-# A server of six places is sent a quarter more, rounded up; what comes beyond that waits.
-SENT = 8
+# A server with six slots is sent a quarter more calls, rounded up; others wait at the entry.
+MAX_SENT = 8
 
 
-class Slow:
-    """Answers each call when the test lets it."""
+class SlowBackend:
+    """Script that holds each request until `respond` is called."""
 
     def __init__(self) -> None:
         self.held = []
 
-    def __call__(self, _backend, arrived):
-        self.held.append(arrived)
+    def __call__(self, _backend, received):
+        self.held.append(received)
 
-    def let_go(self, count: int | None = None) -> None:
-        """Answer the first calls, or all."""
-        going, self.held = self.held[:count], self.held[count:] if count is not None else []
-        for arrived in going:
-            arrived.connection.sendall(answer(arrived))
+    def respond(self, count: int | None = None) -> None:
+        """Respond to the first `count` held requests, or to all."""
+        answered, self.held = self.held[:count], self.held[count:] if count is not None else []
+        for received in answered:
+            received.connection.sendall(answer(received))
 
 
-def crowd(relay, count: int, path: str = "/buy/"):
-    """Start calls that run at the same time."""
+def start_calls(relay, count: int, path: str = "/buy/"):
+    """Start concurrent calls."""
     return [eventlet.spawn(relay.call, path, attempt=f"a-{n}") for n in range(count)]
 
 
-def test_what_a_server_cannot_start_soon_waits_and_is_served(relay):
-    # Twenty calls come at once for a server of six places. In its own queue nobody could let
-    # another call go first, or take one out whose caller has left.
-    slow = Slow()
+def test_calls_beyond_a_servers_capacity_wait_and_are_served(relay):
+    # Twenty calls arrive at once for a server with six slots. In the server's own queue the entry
+    # could neither reorder them nor remove those whose client has disconnected.
+    slow = SlowBackend()
     backend = relay.backend(slow)
-    calls = crowd(relay, 20)
-    until(lambda: len(backend.arrived) == SENT and relay.state.slots.waiting() == 20 - SENT)
-    # Calls under way count from their grant on: one may still be on its way to the server.
+    calls = start_calls(relay, 20)
+    wait_until(
+        lambda: len(backend.received) == MAX_SENT and relay.state.slots.waiting() == 20 - MAX_SENT
+    )
+    # A call counts as in flight from its grant on and may not have reached the server yet.
     while relay.state.slots.waiting() or relay.state.chooser.own_load():
-        slow.let_go()
+        slow.respond()
         eventlet.sleep(0.01)
     assert [one.wait()[0] for one in calls] == [200] * 20
     assert relay.state.chooser.own_load() == {}
 
 
-def test_a_caller_who_leaves_takes_no_place(relay):
-    # Callers give up while their calls wait, and one just as its place comes free. A place that
-    # nobody gives back is lost for as long as the entry runs.
-    slow = Slow()
+def test_client_that_disconnects_leaves_no_slot_taken(relay):
+    # Clients disconnect while their calls wait, one of them just as it gets a slot. A slot that is
+    # not released is lost for as long as the entry runs.
+    slow = SlowBackend()
     backend = relay.backend(slow)
-    calls = crowd(relay, SENT)
-    until(lambda: len(backend.arrived) == SENT)
-    leaving = [relay.connect() for _ in range(5)]
-    for number, connection in enumerate(leaving):
+    calls = start_calls(relay, MAX_SENT)
+    wait_until(lambda: len(backend.received) == MAX_SENT)
+    disconnecting = [relay.connect() for _ in range(5)]
+    for number, connection in enumerate(disconnecting):
         connection.sendall(request("/buy/", f"left-{number}"))
-    until(lambda: relay.state.slots.waiting() == 5)
-    slow.let_go(1)
-    for connection in leaving:
+    wait_until(lambda: relay.state.slots.waiting() == 5)
+    slow.respond(1)
+    for connection in disconnecting:
         connection.close()
-    until(lambda: relay.state.slots.waiting() == 0)
-    slow.let_go()
-    assert [one.wait()[0] for one in calls] == [200] * SENT
-    until(lambda: relay.state.chooser.own_load() == {})
+    wait_until(lambda: relay.state.slots.waiting() == 0)
+    slow.respond()
+    assert [one.wait()[0] for one in calls] == [200] * MAX_SENT
+    wait_until(lambda: relay.state.chooser.own_load() == {})
     backend.script = answers()
     assert relay.call("/buy/", attempt="next")[0] == 200
 
 
-def test_calls_whose_time_is_over_while_they_wait_were_not_run(relay):
-    # All places hang. A call that waits has not left the entry: its caller may be told so, in time
-    # to send it elsewhere.
-    backend = relay.backend(lambda _backend, _arrived: None)
-    running = crowd(relay, SENT)
-    until(lambda: len(backend.arrived) == SENT)
+def test_call_that_times_out_while_waiting_is_reported_as_not_run(relay):
+    # No call on the server ends. A waiting call has not left the entry, so its client can be told
+    # that it did not run, in time to send it elsewhere.
+    backend = relay.backend(lambda _backend, _received: None)
+    running = start_calls(relay, MAX_SENT)
+    wait_until(lambda: len(backend.received) == MAX_SENT)
     status, headers, _body = relay.call("/buy/", attempt="late", deadline="600")
     assert status == 503
     assert float(headers["retry-after"]) > 0
-    assert len(backend.arrived) == SENT
+    assert len(backend.received) == MAX_SENT
     for one in running:
         one.kill()
 
 
-def test_a_full_server_is_asked_again_only_when_there_may_be_room(relay):
-    # A server refuses for half a second. Asked again every few milliseconds, it and this entry
-    # spend their time on refusals.
+def test_full_server_is_not_retried_at_once(relay):
+    # A server refuses calls for half a second. Retried every few milliseconds, the server and this
+    # entry would spend their time on refusals.
     backend = relay.backend(full_until(relay, relay.context.monotonic() + 0.5))
     assert relay.call("/buy/")[0] == 200
-    assert len(backend.arrived) <= 6
+    assert len(backend.received) <= 6
 
 
-def test_a_stream_holds_its_place_until_its_end(relay):
-    # The place of a stream is taken until its last event. Given back at the first, the next call
-    # would be sent to an engine that cannot start it.
+def test_stream_holds_its_slot_until_its_end(relay):
+    # A stream occupies its slot until its last event. If the slot were released at the first event,
+    # the next call would go to an engine that cannot start it.
     held = []
 
-    def begin(_backend, arrived):
-        held.append(arrived)
-        arrived.connection.sendall(stream(arrived, event(1), end=False))
+    def begins_stream(_backend, received):
+        held.append(received)
+        received.connection.sendall(stream(received, event(1), end=False))
 
-    relay.backend(begin)
-    going = eventlet.spawn(relay.call, "/talk/")
-    until(lambda: held)
+    relay.backend(begins_stream)
+    answered = eventlet.spawn(relay.call, "/talk/")
+    wait_until(lambda: held)
     assert relay.state.chooser.own_load() == {"i-0": 1}
     held[0].connection.sendall(b"0\r\n\r\n")
-    assert going.wait()[0] == 200
-    until(lambda: relay.state.chooser.own_load() == {})
+    assert answered.wait()[0] == 200
+    wait_until(lambda: relay.state.chooser.own_load() == {})
 
 
-def test_a_new_program_is_refused_at_once_while_those_under_way_wait(relay):
-    # The engine is full and turns of programs under way wait. Let in, the new program would wait at
-    # each of its turns, and so would the others.
+def test_new_program_is_rejected_at_once_while_running_ones_wait(relay):
+    # The engine is full and turns of running programs wait. An admitted new program would wait at
+    # each of its turns, and delay the others.
     table = relay.state.table
     for route in list(table.config.routes):
         if route.name == "talk":
             assert isinstance(route, Route)
             object.__setattr__(route, "objective_ms", 200)
-    slow = Slow()
+    slow = SlowBackend()
     backend = relay.backend(slow)
-    under_way = [
+    running = [
         eventlet.spawn(relay.call, "/talk/", attempt=f"u-{n}", program=f"p-{n}", previous="t-0")
-        for n in range(SENT + 3)
+        for n in range(MAX_SENT + 3)
     ]
-    until(lambda: len(backend.arrived) == SENT and relay.state.slots.waiting() == 3)
+    wait_until(lambda: len(backend.received) == MAX_SENT and relay.state.slots.waiting() == 3)
     eventlet.sleep(0.5)
     started = relay.context.monotonic()
     refused = [relay.call("/talk/", attempt=f"n-{n}", program=f"q-{n}") for n in range(5)]
     assert [status for status, _headers, _body in refused].count(503) >= 4
     assert relay.context.monotonic() - started < 1.0
-    assert len(backend.arrived) == SENT
-    for one in under_way:
+    assert len(backend.received) == MAX_SENT
+    for one in running:
         one.kill()
--- a/libs/relay/tests/waiting_tests.py
+++ b/libs/relay/tests/waiting_tests.py
@@ -1,4 +1,4 @@
-"""Calls that wait for something that comes soon, and those that are refused instead."""
+"""Calls that wait for a condition expected soon, and calls that are rejected instead."""
 
 from __future__ import annotations
 
@@ -13,28 +13,28 @@
 )
 
 
-def test_a_call_waits_for_the_configuration_after_a_restart(relay):
-    # Everything was restarted and the entry takes clients before it has the configuration. Refused
-    # at once, a program uses up its few tries within a second and fails.
+def test_call_waits_for_the_configuration_after_a_restart(relay):
+    # After a restart of the whole system the entry accepts clients before it has the configuration.
+    # If calls were rejected at once, a program would use up its few attempts within a second.
     relay.backend(answers())
     table, relay.state.table = relay.state.table, None
 
-    def arrive():
+    def become_available():
         relay.state.table = table
 
-    eventlet.spawn_after(0.3, arrive)
+    eventlet.spawn_after(0.3, become_available)
     assert relay.call("/buy/")[0] == 200
 
 
-def test_a_call_waits_for_a_server_that_announces_itself_soon(relay):
-    def arrive():
+def test_call_waits_for_a_server_that_registers_soon(relay):
+    def become_available():
         relay.backend(answers())
 
-    eventlet.spawn_after(0.3, arrive)
+    eventlet.spawn_after(0.3, become_available)
     assert relay.call("/buy/")[0] == 200
 
 
-def test_a_call_for_which_nothing_comes_is_refused_long_before_its_time_is_over(relay):
+def test_call_without_configuration_is_rejected_well_before_its_deadline(relay):
     relay.state.table = None
     started = relay.context.monotonic()
     status, headers, _body = relay.call("/buy/")
@@ -43,16 +43,16 @@
     assert relay.context.monotonic() - started < 2.0
 
 
-def test_a_call_waits_for_a_place_while_every_server_is_full_for_a_moment(relay):
+def test_call_waits_while_every_server_is_briefly_full(relay):
     # A burst fills every server for a tenth of a second.
-    full_for_a_moment = full_until(relay, relay.context.monotonic() + 0.2)
+    briefly_full = full_until(relay, relay.context.monotonic() + 0.2)
     for _ in range(2):
-        relay.backend(full_for_a_moment)
+        relay.backend(briefly_full)
     assert relay.call("/buy/")[0] == 200
 
 
 class UnreachableRateOwner:
-    """The owner of every rate is gone, and the reserve is used up."""
+    """Rates whose owner is unreachable and whose reserve is exhausted."""
 
     def is_dry(self, _org_id):
         return False
@@ -67,9 +67,9 @@
         return
 
 
-def test_a_caller_whose_rate_cannot_be_checked_is_told_to_come_back_when_it_can(relay):
-    # The entry that owned the organisation's rate has died. Sent back after a moment, the caller
-    # uses up its few tries before there is another owner, and its program fails.
+def test_retry_after_outlasts_the_replacement_of_an_unreachable_rate_owner(relay):
+    # The entry that owned the organisation's rate has failed. With a short Retry-After, a client
+    # uses up its few attempts before there is another owner, and its program fails.
     organisation = RelayOrganisation("org-1", (KEY,), rate=Rate(10.0, 10.0))
     relay.state.table.organisation_by_key[KEY] = organisation
     relay.state.rates = UnreachableRateOwner()
@@ -78,8 +78,8 @@
     assert float(headers["retry-after"]) >= 0.5
 
 
-class DryRates:
-    """The organisation has used up its rate; its programs under way get tokens as they come."""
+class ExhaustedRate:
+    """Rates of an organisation over its rate; running programs still get tokens."""
 
     def __init__(self) -> None:
         self.taken = []
@@ -97,41 +97,41 @@
         return
 
 
-def test_an_organisation_over_its_rate_finishes_programs_before_it_starts_more(relay):
-    # It starts programs all the time, and each needs ten calls. Started as they come, all of them
-    # run out of tokens in the middle: calls are spent on programs of which none ends.
+def test_organisation_over_its_rate_starts_no_new_programs(relay):
+    # An organisation keeps starting programs that need ten calls each. If all were started, each
+    # would run out of tokens midway, and none would finish.
     organisation = RelayOrganisation("org-1", (KEY,), rate=Rate(10.0, 10.0))
     relay.state.table.organisation_by_key[KEY] = organisation
-    rates = relay.state.rates = DryRates()
+    rates = relay.state.rates = ExhaustedRate()
     backend = relay.backend(
-        lambda _b, arrived: arrived.connection.sendall(stream(arrived, event(1)))
+        lambda _b, received: received.connection.sendall(stream(received, event(1)))
     )
     status, headers, _body = relay.call("/talk/", program="p-1")
-    assert (status, len(backend.arrived)) == (429, 0)
+    assert (status, len(backend.received)) == (429, 0)
     assert float(headers["retry-after"]) > 0
     assert relay.call("/talk/", attempt="a-2", program="p-2", previous="a-0")[0] == 200
     assert rates.taken == [True]
 
 
-def test_a_program_whose_budget_is_spent_takes_no_tokens_from_others(relay):
-    # Guards against a program that loops: its refused turns would use up its organisation's rate.
+def test_program_with_exhausted_budget_takes_no_rate_tokens(relay):
+    # The rejected turns of a program that loops would use up the rate of its organisation.
     organisation = RelayOrganisation("org-1", (KEY,), rate=Rate(10.0, 10.0))
     relay.state.table.organisation_by_key[KEY] = organisation
-    rates = relay.state.rates = DryRates()
-    relay.turns.answer = BudgetSpent(spent=95)
+    rates = relay.state.rates = ExhaustedRate()
+    relay.turn_store.reserve_result = BudgetSpent(spent=95)
 
-    def ask(attempt: str, program: str, most: str) -> int:
+    def call_status(attempt: str, program: str, most: str) -> int:
         call = {"attempt": attempt, "program": program, "previous": "a-0", "most": most}
         return relay.call("/talk/", budget="100", **call)[0]
 
-    assert ask("a-1", "p-1", "10") == 402
-    asked = len(rates.taken)
-    relay.turns.answer = None
-    assert ask("a-2", "p-1", "10") == 402
-    assert len(rates.taken) == asked
-    # Running turns held the rest of this one's budget, and may have given it back since.
-    relay.turns.answer = BudgetSpent(spent=20)
-    assert ask("a-3", "p-2", "10") == 402
-    relay.turns.answer = None
-    relay.backend(lambda _b, arrived: arrived.connection.sendall(stream(arrived, event(1))))
-    assert ask("a-4", "p-2", "10") == 200
+    assert call_status("a-1", "p-1", "10") == 402
+    taken_before = len(rates.taken)
+    relay.turn_store.reserve_result = None
+    assert call_status("a-2", "p-1", "10") == 402
+    assert len(rates.taken) == taken_before
+    # Running turns had reserved the rest of this program's budget and may have returned it since.
+    relay.turn_store.reserve_result = BudgetSpent(spent=20)
+    assert call_status("a-3", "p-2", "10") == 402
+    relay.turn_store.reserve_result = None
+    relay.backend(lambda _b, received: received.connection.sendall(stream(received, event(1))))
+    assert call_status("a-4", "p-2", "10") == 200
