--- a/libs/relay/tarragonhall_relay/_call.py
+++ b/libs/relay/tarragonhall_relay/_call.py
@@ -272,9 +272,9 @@
         )
 
     def _answer_timeout_s(self, server: BackendRecord) -> float | None:
-        """Return how long to wait for this server before a look-up is sent to another one.
+        """Return the seconds after which an idempotent call is sent to another server, or None.
 
-        Without the retry, a look-up whose response is lost would fail its program. The retry budget
+        Without the retry, a call whose response is lost would fail its program. The retry budget
         grows by one for ten responses, so that an overload that slows every call is not doubled.
         """
         route = self._admitted.route
--- a/libs/relay/tarragonhall_relay/_client.py
+++ b/libs/relay/tarragonhall_relay/_client.py
@@ -77,7 +77,7 @@
         "_http",
         "_limits",
         "_listener",
-        "_throw",
+        "_pending_throw",
         "closing",
         "request_pending",
         "response_started",
@@ -88,7 +88,7 @@
         self._limits = limits
         self._http = h11.Connection(h11.SERVER, max_incomplete_event_size=limits.max_header_bytes)
         self._listener = None
-        self._throw = None
+        self._pending_throw = None
         # Whether the head of the current response was sent, and whether it is the last response.
         self.response_started = False
         self.closing = False
@@ -131,7 +131,7 @@
                 return
             self._stop_listening()
             if self._is_closed():
-                self._throw = hub.schedule_call_global(
+                self._pending_throw = hub.schedule_call_global(
                     0, green_thread.throw, ClientDisconnectedError("left")
                 )
 
@@ -144,9 +144,9 @@
     def stop_watching(self) -> None:
         """Stop raising an error in this green thread when the client closes."""
         self._stop_listening()
-        if self._throw is not None:
-            self._throw.cancel()
-            self._throw = None
+        if self._pending_throw is not None:
+            self._pending_throw.cancel()
+            self._pending_throw = None
 
     def respond(self, status: int, headers: Headers, body: bytes) -> None:
         """Write a complete response."""
--- a/libs/relay/tarragonhall_relay/_followers.py
+++ b/libs/relay/tarragonhall_relay/_followers.py
@@ -292,15 +292,15 @@
 
     def _follow_loop(self, address: str) -> None:
         while not self._stopped and address in self._context.control_addresses:
-            answered = self._request_changes(address)
-            pause_s = FOLLOW_INTERVAL_SECONDS if answered else FOLLOW_RETRY_SECONDS
+            replied = self._request_changes(address)
+            pause_s = FOLLOW_INTERVAL_SECONDS if replied else FOLLOW_RETRY_SECONDS
             eventlet.sleep(pause_s * self._context.rng.uniform(0.7, 1.0))
         self._followed.discard(address)
         self._version_by_source.pop(address, None)
         self._apply(self._table.drop_source(address))
 
     def _on_link_up(self, link: Link) -> None:
-        """Request changes at once: a member that has restarted has lost its subscriptions."""
+        """Request changes at once: the member may have restarted and lost its subscriptions."""
         if link.peer.address in self._followed:
             eventlet.spawn_n(self._request_changes, link.peer.address)
 
