--- a/libs/control/tarragonhall_control/__init__.py
+++ b/libs/control/tarragonhall_control/__init__.py
@@ -1,4 +1,4 @@
-"""The control role: the eventlet shell around the replicated log, and the admin HTTP API."""
+"""The control role: runs the replicated log with eventlet and serves the admin HTTP API."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from tarragonhall_wire import ProcessContext
 
 from tarragonhall_control._first_operator import initialise
-from tarragonhall_control._relay_desk import NoLeaderError
+from tarragonhall_control._relay_service import NoLeaderError
 from tarragonhall_control._role import ControlRole
 from tarragonhall_control._settings import OPTIONS, ControlSettings
 
@@ -25,6 +25,6 @@
 ) -> ControlRole:
     """Open the data folder, join the group and serve links and the admin API.
 
-    `limits` are those of the replicated log; left out, they are the ones for service.
+    `limits` are the timing limits of the replicated log; the default is the production limits.
     """
     return ControlRole(settings, context, limits)
--- a/libs/control/tarragonhall_control/_admin.py
+++ b/libs/control/tarragonhall_control/_admin.py
@@ -1,4 +1,4 @@
-"""The admin HTTP API: any member takes a request and the leader answers it."""
+"""The admin HTTP API: every member accepts requests and forwards them to the leader."""
 
 from __future__ import annotations
 
@@ -30,16 +30,16 @@
 
 log = structlog.get_logger(__name__)
 
-PREFIX = "/admin/v1"
-# Longer than a membership change may take, so that its outcome is told.
-FORWARD_SECONDS = 65.0
+PATH_PREFIX = "/admin/v1"
+# Longer than the 60 s timeout of a membership change, so that its outcome is reported.
+FORWARD_TIMEOUT_SECONDS = 65.0
 RETRY_AFTER_SECONDS = "1"
 
 Handler = Callable[[AdminRequest], AdminReply]
 
 
 class AdminApi:
-    """Checks tokens, sends each request to its handler and turns errors into responses."""
+    """Authenticates requests, routes them to handlers and turns errors into responses."""
 
     __slots__ = ("_member", "_routes", "_server")
 
@@ -48,65 +48,67 @@
         self._server = HttpServer(address, _on_error)
         self._routes: list[tuple[str, re.Pattern[str], Handler]] = []
         for method, pattern, handler in _routes_of(member):
-            expression = re.sub(r"\{(\w+)\}", r"(?P<\1>[^/]+)", PREFIX + pattern)
+            expression = re.sub(r"\{(\w+)\}", r"(?P<\1>[^/]+)", PATH_PREFIX + pattern)
             self._routes.append((method, re.compile(expression), handler))
-            self._server.route(method, PREFIX + pattern, self._serve)
+            self._server.route(method, PATH_PREFIX + pattern, self._serve)
 
     def start(self) -> None:
-        """Begin to serve, also what other members forward."""
+        """Start serving HTTP requests and requests forwarded by other members."""
         self._member.context.hub.handle(AdminCall, self._on_call)
         self._server.start()
 
     def stop(self, timeout_s: float) -> bool:
-        """Finish every request at hand; return whether all ended in time."""
+        """Stop after the requests in flight; return whether all of them ended in time."""
         return self._server.stop(timeout_s)
 
     def _serve(self, request: HttpRequest) -> HttpResponse:
         call = AdminCall(
             request.method, request.path, request.query, request.bearer() or "", request.body
         )
-        result = self._answer(call) if self._member.is_leader() else self._forward(call)
+        result = self._respond(call) if self._member.is_leader() else self._forward(call)
         return HttpResponse(result.status, json.loads(result.json), headers=result.headers)
 
     def _forward(self, call: AdminCall) -> AdminResult:
-        """Hand a request to the leader, so that operators need not know who leads."""
+        """Forward a request to the leader, so that operators can send it to any member."""
         address = self._member.leader_address()
         if address is None:
-            return _unavailable("no leader is known; try again with the same request id")
+            return _unavailable(
+                "no leader is known; send the request again with the same request id"
+            )
         try:
             link = self._member.context.hub.wait_for(address, 1.0)
-            return link.request(call, FORWARD_SECONDS)
+            return link.request(call, FORWARD_TIMEOUT_SECONDS)
         except (LinkError, RequestTimeoutError) as error:
             return _unavailable(f"the leader did not answer ({error}); send the request again")
 
     def _on_call(self, _link: Link, call: AdminCall) -> AdminResult:
         if not self._member.is_leader():
-            return _unavailable("the leader has just changed; send the request again")
-        return self._answer(call)
+            return _unavailable("the leader has changed; send the request again")
+        return self._respond(call)
 
-    def _answer(self, call: AdminCall) -> AdminResult:
+    def _respond(self, call: AdminCall) -> AdminResult:
         try:
             reply = self._handle(call)
         except Exception as error:  # noqa: BLE001 - every error becomes a response
             response = _on_error(error)
             value = response.value | {"revision": self._member.state.revision}
             if isinstance(error, AdminError):
-                value |= error.more
+                value |= error.extra
             return AdminResult(response.status, json.dumps(value), response.headers)
         return AdminResult(reply.status, json.dumps(reply.value))
 
     def _handle(self, call: AdminCall) -> AdminReply:
-        handler, parts = self._route(call)
-        # What is read below must not be older than what another member may have accepted.
+        handler, path_params = self._route(call)
+        # Reads below must not be older than a change that another leader may have accepted.
         if not self._member.confirm():
-            raise LeadUnknownError("the lead could not be confirmed")
+            raise LeadUnknownError("a majority did not confirm this member as leader")
         operators = self._member.state.configuration.operators
         operator = operators.with_token(secret_hash(call.token)) if call.token else None
         if operator is None:
             raise AdminError(401, "unauthenticated", "expected the token of an operator")
         self._member.context.metrics.count("control.admin_requests")
-        query, body, request_id = self._read(call)
-        return handler(AdminRequest(operator, request_id, query, body, parts))
+        query, body, request_id = self._parse(call)
+        return handler(AdminRequest(operator, request_id, query, body, path_params))
 
     def _route(self, call: AdminCall) -> tuple[Handler, dict[str, str]]:
         for method, expression, handler in self._routes:
@@ -115,15 +117,15 @@
                 return handler, match.groupdict()
         raise AdminError(404, "not_found", f"no such path {call.path}")
 
-    def _read(self, call: AdminCall) -> tuple[str, dict, str]:
-        """Return query, body and request id; a request without an id gets one of its own."""
+    def _parse(self, call: AdminCall) -> tuple[str, dict, str]:
+        """Return query, body and request id; generate an id where the request has none."""
         body = HttpRequest(call.method, call.path, call.query, {}, call.body).json()
-        given = body.get("request_id")
-        if given is None and call.method == "DELETE":
-            given = dict(parse_qsl(call.query)).get("request_id")
-        if given is not None and (not isinstance(given, str) or not given):
+        request_id = body.get("request_id")
+        if request_id is None and call.method == "DELETE":
+            request_id = dict(parse_qsl(call.query)).get("request_id")
+        if request_id is not None and (not isinstance(request_id, str) or not request_id):
             raise InputError([Finding("/request_id", "expected a non-empty string")])
-        return call.query, body, given or new_id("req", self._member.context.rng)
+        return call.query, body, request_id or new_id("req", self._member.context.rng)
 
 
 def _routes_of(member: ControlMember) -> list[tuple[str, str, Handler]]:
@@ -174,26 +176,26 @@
 
 
 def _on_error(error: Exception) -> HttpResponse:
-    """Turn any error into a response of the one form that all errors have."""
+    """Turn an error into a response in the common error format."""
     match error:
         case AdminError():
             return _error(error.status, error.error, str(error), error.findings)
         case InputError():
-            return _error(422, "bad_input", "the request was not accepted", error.findings)
+            return _error(422, "bad_input", "the request is invalid", error.findings)
         case LoopBusyError():
             return _error(429, "busy", str(error), (), {"Retry-After": RETRY_AFTER_SECONDS})
         case LeadUnknownError():
-            message = f"{error}; send the request again under the same request id"
+            message = f"{error}; send the request again with the same request id"
             return _error(503, "unavailable", message, (), {"Retry-After": RETRY_AFTER_SECONDS})
         case TarragonhallError():
             return _error(409, "conflict", str(error), ())
     log.exception("admin.request_failed", exc_info=error)
-    return _error(500, "internal", "an error of the system; its log tells more", ())
+    return _error(500, "internal", "internal error; see the logs of the control members", ())
 
 
 def _error(
     status: int, error: str, message: str, findings: object, headers: dict | None = None
 ) -> HttpResponse:
-    shown = [{"place": one.place, "message": one.message} for one in findings]
-    value = {"error": error, "message": message, "findings": shown}
+    finding_values = [{"place": one.place, "message": one.message} for one in findings]
+    value = {"error": error, "message": message, "findings": finding_values}
     return HttpResponse(status, value, headers=headers or {})
--- a/libs/control/tarragonhall_control/_admin_settings.py
+++ b/libs/control/tarragonhall_control/_admin_settings.py
@@ -1,4 +1,4 @@
-"""Organisations, settings and models of the admin API."""
+"""Admin API handlers for organisations, settings and models."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 from tarragonhall_control import _bodies as bodies
 from tarragonhall_control._member import ControlMember
-from tarragonhall_control._request import AdminReply, AdminRequest, as_json, checked
+from tarragonhall_control._request import AdminReply, AdminRequest, as_json, unwrap_result
 
 DEFAULT_HISTORY = 100
 
@@ -56,7 +56,7 @@
         return self._reply({"organisations": found})
 
     def get(self, request: AdminRequest) -> AdminReply:
-        """GET /settings: what is set at a path, and what is in force there."""
+        """GET /settings: the values set at a path, and the effective ones."""
         path = self._path(request)
         origins = self._configuration.tree.explain(path)
         effective = {one.name: {"value": one.value, "from": one.source} for one in origins}
@@ -77,7 +77,7 @@
         return self._change(request, change, body["dry_run"])
 
     def explain(self, request: AdminRequest) -> AdminReply:
-        """GET /settings/explain: each level that has a say in a name, the nearest first."""
+        """GET /settings/explain: each level that sets a name or its default, the nearest first."""
         values = bodies.load_query(request.query, ("path", "name"))
         path = self._path(request)
         name = values.get("name", "")
@@ -91,18 +91,18 @@
         """GET /settings/history: the changes of a subtree, newest first."""
         values = bodies.load_query(request.query, ("path", "limit"))
         path = self._path(request)
-        limit = bodies.whole(values, "limit", DEFAULT_HISTORY)
+        limit = bodies.whole_number(values, "limit", DEFAULT_HISTORY)
         changes = self._configuration.tree.changes_within(path)
-        newest = [_shown(one) for one in reversed(changes[-limit:])] if limit else []
+        newest = [_change_value(one) for one in reversed(changes[-limit:])] if limit else []
         return self._reply({"path": path, "changes": newest})
 
     def diff(self, request: AdminRequest) -> AdminReply:
-        """GET /settings/diff: what differs between two revisions."""
+        """GET /settings/diff: the differences between two revisions."""
         known = ("path", "from", "to")
         values = bodies.load_query(request.query, known)
         path = self._path(request)
-        until = bodies.whole(values, "to", self._configuration.revision)
-        after = bodies.whole(values, "from", max(0, until - 1))
+        until = bodies.whole_number(values, "to", self._configuration.revision)
+        after = bodies.whole_number(values, "from", max(0, until - 1))
         oldest = self._configuration.tree.oldest_reachable(until)
         if after < oldest:
             text = f"the history reaches back to revision {oldest}"
@@ -114,7 +114,7 @@
         return self._reply({"path": path, "from": after, "to": until, "differences": differences})
 
     def export(self, request: AdminRequest) -> AdminReply:
-        """GET /settings/export: a subtree in the form that import takes."""
+        """GET /settings/export: a subtree in the format of the import."""
         path = self._path(request)
         return self._reply({"path": path, "nodes": self._configuration.tree.export(path)})
 
@@ -156,11 +156,11 @@
         return self._reply({"models": models})
 
     def _change(self, request: AdminRequest, change: SettingsChange, dry_run: bool) -> AdminReply:
-        """Commit a change, or only say what it would change."""
+        """Commit a change, or with `dry_run` only return what it would change."""
         if dry_run:
-            planned = checked(self._configuration.preview(change))
+            planned = unwrap_result(self._configuration.preview(change))
             return self._reply({"dry_run": True, "changes": as_json(planned)["changes"]})
-        result = checked(self._member.commit(change, request.request_id))
+        result = unwrap_result(self._member.commit(change, request.request_id))
         return AdminReply(as_json(result) | {"request_id": request.request_id})
 
     def _path(self, request: AdminRequest) -> str:
@@ -173,9 +173,9 @@
         return AdminReply({"revision": self._configuration.revision} | value)
 
 
-def _shown(entry: ChangeRecord) -> dict:
-    """Return a change as the history shows it."""
-    shown = as_json(entry)
-    shown["set"] = {one.name: one.new for one in entry.changes if one.new is not None}
-    shown["unset"] = [one.name for one in entry.changes if one.new is None]
-    return shown
+def _change_value(entry: ChangeRecord) -> dict:
+    """Return a change as an item of the history."""
+    value = as_json(entry)
+    value["set"] = {one.name: one.new for one in entry.changes if one.new is not None}
+    value["unset"] = [one.name for one in entry.changes if one.new is None]
+    return value
--- a/libs/control/tarragonhall_control/_admin_system.py
+++ b/libs/control/tarragonhall_control/_admin_system.py
@@ -1,4 +1,4 @@
-"""Status, programs, backend servers, members, time line and snapshot of the admin API."""
+"""Admin API handlers for status, programs, servers, members, timeline and snapshots."""
 
 from __future__ import annotations
 
@@ -25,19 +25,19 @@
     AdminReply,
     AdminRequest,
     as_json,
-    checked,
+    unwrap_result,
 )
 
 DEFAULT_PROGRAMS = 100
 MAX_PROGRAMS = 1_000
-# One process that hangs must not hold up the time line of all others.
-TIMELINE_SECONDS = 2.0
-# A learner that is far behind takes its snapshot first.
-MEMBER_CHANGE_SECONDS = 60.0
+# One hanging process must not delay the timeline of all others.
+TIMELINE_TIMEOUT_SECONDS = 2.0
+# A learner that is far behind has to load a snapshot first.
+MEMBER_CHANGE_TIMEOUT_SECONDS = 60.0
 
 
 class SystemHandlers:
-    """Reads and changes what is no setting."""
+    """Shows and changes the state of programs, servers and members."""
 
     __slots__ = ("_member",)
 
@@ -70,46 +70,46 @@
         )
 
     def list_programs(self, request: AdminRequest) -> AdminReply:
-        """GET /programs, the newest first."""
+        """GET /programs, newest first."""
         values = bodies.load_query(request.query, ("org", "status", "limit"))
         org_id = values.get("org")
         path = ROOT_PATH if org_id is None else self._path_of(org_id)
         request.require(OperatorRole.READER, path)
-        status = _status(values.get("status"))
-        limit = min(bodies.whole(values, "limit", DEFAULT_PROGRAMS), MAX_PROGRAMS)
+        status = _parse_status(values.get("status"))
+        limit = min(bodies.whole_number(values, "limit", DEFAULT_PROGRAMS), MAX_PROGRAMS)
         found = self._state.programs(org_id, status, limit)
         return AdminReply({"programs": [as_json(info) for info in found]})
 
     def show_program(self, request: AdminRequest) -> AdminReply:
         """GET /programs/{program_id}, with its closed calls."""
-        report = checked(self._state.program(request.parts["program_id"], None))
+        report = unwrap_result(self._state.program(request.path_params["program_id"], None))
         request.require(OperatorRole.READER, self._path_of(report.info.org_id))
         return AdminReply(as_json(report.info) | {"calls": as_json(report)["calls"]})
 
     def cancel_program(self, request: AdminRequest) -> AdminReply:
         """POST /programs/{program_id}/cancel."""
         bodies.load(bodies.ONLY_REQUEST_ID, request.body)
-        program_id = request.parts["program_id"]
-        report = checked(self._state.program(program_id, None))
+        program_id = request.path_params["program_id"]
+        report = unwrap_result(self._state.program(program_id, None))
         request.require(OperatorRole.EDITOR, self._path_of(report.info.org_id))
         command = CancelProgram(program_id, ProgramStatus.CANCELLED, request.operator.name)
-        info = checked(self._member.commit(command, request.request_id))
+        info = unwrap_result(self._member.commit(command, request.request_id))
         return AdminReply(as_json(info) | {"request_id": request.request_id})
 
     def list_servers(self, _request: AdminRequest) -> AdminReply:
-        """GET /servers: backend servers and entries of this epoch."""
+        """GET /servers: the backend servers and entries of the current view."""
         return AdminReply(as_json(self._state.view()))
 
     def drain_server(self, request: AdminRequest) -> AdminReply:
         """POST /servers/{server_id}/drain."""
         body = bodies.load(bodies.DRAIN, request.body)
         request.require(OperatorRole.ADMIN, ROOT_PATH)
-        server_id = request.parts["server_id"]
+        server_id = request.path_params["server_id"]
         known = {server.server_id for server in self._state.view().servers}
         if body["draining"] and server_id not in known:
             raise AdminError(404, "not_found", f"no backend server {server_id!r}")
         command = DrainServer(server_id, body["draining"])
-        result = checked(self._member.commit(command, request.request_id))
+        result = unwrap_result(self._member.commit(command, request.request_id))
         return AdminReply({"epoch": result.revision, "request_id": request.request_id})
 
     def list_members(self, _request: AdminRequest) -> AdminReply:
@@ -126,38 +126,40 @@
         return AdminReply({"leader": status.leader, "term": status.term, "members": members})
 
     def add_member(self, request: AdminRequest) -> AdminReply:
-        """POST /members: caught up first, then a voter."""
+        """POST /members: the new member catches up first, then becomes a voter."""
         body = bodies.load(bodies.MEMBER, request.body)
         return self._change_member(request, body["member_id"], body["address"])
 
     def remove_member(self, request: AdminRequest) -> AdminReply:
         """DELETE /members/{member_id}."""
         bodies.load(bodies.ONLY_REQUEST_ID, request.body)
-        member = self._known_member(request)
+        member = self._find_member(request)
         return self._change_member(request, member.member_id, member.address, remove=True)
 
     def replace_member(self, request: AdminRequest) -> AdminReply:
-        """POST /members/{member_id}/replace, for one whose data folder was lost."""
+        """POST /members/{member_id}/replace, for a member whose data folder was lost."""
         body = bodies.load(bodies.REPLACEMENT, request.body)
-        member = self._known_member(request)
+        member = self._find_member(request)
         address = body["address"] or member.address
         return self._change_member(request, member.member_id, address, replace=True)
 
     def timeline(self, request: AdminRequest) -> AdminReply:
-        """GET /timeline: the events of all processes that are linked, in one order."""
+        """GET /timeline: the events of all linked processes in one order."""
         values = bodies.load_query(request.query, ("program", "since_ms", "limit"))
         program_id = values.get("program", "")
         request.require(OperatorRole.READER, self._path_of_program(program_id))
         query = QueryTimeline(
-            program_id, bodies.whole(values, "since_ms", 0), bodies.whole(values, "limit", 1_000)
+            program_id,
+            bodies.whole_number(values, "since_ms", 0),
+            bodies.whole_number(values, "limit", 1_000),
         )
-        events, missing = self._collect(query)
+        events, missing = self._collect_events(query)
         events.sort(key=lambda event: event.stamp.sort_key())
-        shown = [_shown(event) for event in events[-query.limit :]]
+        shown = [_event_value(event) for event in events[-query.limit :]]
         return AdminReply({"events": shown, "missing": missing})
 
     def snapshot(self, request: AdminRequest) -> AdminReply:
-        """GET /snapshot: all configuration in force, for a backup outside the system."""
+        """GET /snapshot: the whole configuration in force, for an external backup."""
         request.require(OperatorRole.ADMIN, ROOT_PATH)
         configuration = self._state.configuration
         return AdminReply(
@@ -172,7 +174,7 @@
         )
 
     def take_snapshot(self, request: AdminRequest) -> AdminReply:
-        """POST /snapshot: have the leader write its state and shorten its log."""
+        """POST /snapshot: make the leader write a snapshot and truncate its log."""
         bodies.load(bodies.ONLY_REQUEST_ID, request.body)
         request.require(OperatorRole.ADMIN, ROOT_PATH)
         self._member.loop.take_snapshot()
@@ -189,27 +191,27 @@
     ) -> AdminReply:
         request.require(OperatorRole.ADMIN, ROOT_PATH)
         member = Member(member_id, "", address)
-        self._member.loop.change_member(member, remove, replace, MEMBER_CHANGE_SECONDS)
+        self._member.loop.change_member(member, remove, replace, MEMBER_CHANGE_TIMEOUT_SECONDS)
         self._member.context.timeline.add("member_changed", member=member_id)
         return self.list_members(request)
 
-    def _known_member(self, request: AdminRequest) -> Member:
-        member_id = request.parts["member_id"]
+    def _find_member(self, request: AdminRequest) -> Member:
+        member_id = request.path_params["member_id"]
         for member in self._member.loop.replica.status().members:
             if member.member_id == member_id:
                 return member
         raise AdminError(404, "not_found", f"no member {member_id!r}")
 
-    def _collect(self, query: QueryTimeline) -> tuple[list[TimelineEvent], list[str]]:
-        """Ask every linked process at once; return the events and who did not answer."""
+    def _collect_events(self, query: QueryTimeline) -> tuple[list[TimelineEvent], list[str]]:
+        """Query all linked processes in parallel; return events and the unresponsive instances."""
         context = self._member.context
         events = list(context.timeline.find(query).events)
         link_by_instance = {link.peer.instance: link for link in context.hub.links()}
         link_by_instance.pop(context.instance, None)
         missing = []
         pool = eventlet.GreenPool(max(1, len(link_by_instance)))
-        asked = [(link, query) for link in link_by_instance.values()]
-        for instance, found in pool.starmap(_ask, asked):
+        queries = [(link, query) for link in link_by_instance.values()]
+        for instance, found in pool.starmap(_query_timeline, queries):
             if found is None:
                 missing.append(instance)
                 continue
@@ -229,27 +231,27 @@
 
 
 def _match_index(status: Status, member_id: str) -> int | None:
-    """Return up to which index the member holds the leader's log; None where not known yet."""
+    """Return the last log index that the member has replicated; None while it is unknown."""
     if status.leader == status.member_id == member_id:
         return status.last_index
     peer = status.peer_by_id.get(member_id)
     return peer.match_index if peer else None
 
 
-def _shown(event: TimelineEvent) -> dict:
-    """Return an event with its stamp spread out, as the tool prints it."""
+def _event_value(event: TimelineEvent) -> dict:
+    """Return an event with the fields of its stamp at the top level, as the tool prints it."""
     shown = as_json(event)
     return shown | shown.pop("stamp")
 
 
-def _ask(link: Link, query: QueryTimeline) -> tuple[str, TimelineEvents | None]:
+def _query_timeline(link: Link, query: QueryTimeline) -> tuple[str, TimelineEvents | None]:
     try:
-        return link.peer.instance, link.request(query, TIMELINE_SECONDS)
+        return link.peer.instance, link.request(query, TIMELINE_TIMEOUT_SECONDS)
     except LinkError:
         return link.peer.instance, None
 
 
-def _status(text: str | None) -> ProgramStatus | None:
+def _parse_status(text: str | None) -> ProgramStatus | None:
     if text is None:
         return None
     words = [status.value for status in ProgramStatus]
--- a/libs/control/tarragonhall_control/_admin_zones.py
+++ b/libs/control/tarragonhall_control/_admin_zones.py
@@ -1,4 +1,4 @@
-"""Availability zones in the admin API: which there are, and their evacuation."""
+"""Admin API handlers for availability zones and their evacuation."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 from tarragonhall_control import _bodies as bodies
 from tarragonhall_control._member import ControlMember
-from tarragonhall_control._request import AdminReply, AdminRequest, checked
+from tarragonhall_control._request import AdminReply, AdminRequest, unwrap_result
 
 
 class ZoneHandlers:
-    """Shows availability zones and orders their evacuation."""
+    """Lists availability zones and starts or ends their evacuation."""
 
     __slots__ = ("_member",)
 
@@ -40,12 +40,12 @@
         """POST /zones/{zone}/evacuation: its backend servers get no new calls until it ends."""
         body = bodies.load(bodies.EVACUATION, request.body)
         request.require(OperatorRole.ADMIN, ROOT_PATH)
-        zone = request.parts["zone"]
-        refusal = self._member.unknown_zone(zone)
+        zone = request.path_params["zone"]
+        refusal = self._member.refuse_unknown_zone(zone)
         if refusal is not None:
-            checked(refusal)
+            unwrap_result(refusal)
         command = EvacuateZone(zone, body["evacuated"])
-        result = checked(self._member.commit(command, request.request_id))
+        result = unwrap_result(self._member.commit(command, request.request_id))
         evacuated = self._member.state.view().evacuated_zones
         answer = {"epoch": result.revision, "evacuated_zones": evacuated}
         return AdminReply(answer | {"request_id": request.request_id})
--- a/libs/control/tarragonhall_control/_bodies.py
+++ b/libs/control/tarragonhall_control/_bodies.py
@@ -1,4 +1,4 @@
-"""What each request of the admin API may hold; unknown names are refused with the nearest known."""
+"""Schemas of admin API request bodies; an unknown name is rejected with the nearest known one."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Anything:
-    """Any JSON value; the state machine checks it, with its place."""
+class AnyJson:
+    """Any JSON value; the state machine validates it and reports the place of errors."""
 
     default: Any = REQUIRED
 
     def load(self, value: object, _place: str) -> tuple[Any, list[Finding]]:
-        """Take the value as it is."""
+        """Return the value unchanged."""
         return value, []
 
     def schema(self) -> dict:
@@ -39,7 +39,7 @@
 
 
 REQUEST_ID = {"request_id": Text(None)}
-EXPECTED = {"expected_revision": Whole()}
+EXPECTED_REVISION = {"expected_revision": Whole()}
 
 ORGANISATION = Group(
     dict,
@@ -47,7 +47,7 @@
     | {
         "org_id": Text(),
         "path": Text(),
-        "settings": MapOf(Anything(), default={}),
+        "settings": MapOf(AnyJson(), default={}),
         "expected_revision": Whole(None),
     },
 )
@@ -65,23 +65,25 @@
 SETTINGS = Group(
     dict,
     REQUEST_ID
-    | EXPECTED
+    | EXPECTED_REVISION
     | {
         "path": Text(),
-        "set": MapOf(Anything(), default={}),
+        "set": MapOf(AnyJson(), default={}),
         "unset": ListOf(Text(), default=[]),
         "dry_run": Flag(False),
     },
 )
 ROLLBACK = Group(
     dict,
-    REQUEST_ID | EXPECTED | {"path": Text("/"), "to_revision": Whole(), "dry_run": Flag(False)},
+    REQUEST_ID
+    | EXPECTED_REVISION
+    | {"path": Text("/"), "to_revision": Whole(), "dry_run": Flag(False)},
 )
 IMPORT = Group(
     dict,
     REQUEST_ID
-    | EXPECTED
-    | {"path": Text("/"), "nodes": MapOf(MapOf(Anything())), "dry_run": Flag(False)},
+    | EXPECTED_REVISION
+    | {"path": Text("/"), "nodes": MapOf(MapOf(AnyJson())), "dry_run": Flag(False)},
 )
 OPERATOR = Group(
     dict,
@@ -112,7 +114,7 @@
 
 
 def load(group: Group, body: dict) -> dict:
-    """Check a body; raise `InputError` with every finding at once."""
+    """Validate a body; raise `InputError` with all findings."""
     loaded, findings = group.load(body)
     if findings:
         raise InputError(findings)
@@ -120,7 +122,7 @@
 
 
 def load_query(query: str, known: tuple[str, ...]) -> dict[str, str]:
-    """Check the names of a query string."""
+    """Parse a query string; raise `InputError` for unknown names."""
     values = dict(parse_qsl(query, keep_blank_values=True))
     findings = [unknown_name(f"?{name}", name, known) for name in values if name not in known]
     if findings:
@@ -128,8 +130,8 @@
     return values
 
 
-def whole(values: dict[str, str], name: str, default: int) -> int:
-    """Return a whole number of a query string."""
+def whole_number(values: dict[str, str], name: str, default: int) -> int:
+    """Return a query parameter as a whole number; raise `InputError` if it is none."""
     text = values.get(name)
     if text is None:
         return default
--- a/libs/control/tarragonhall_control/_confirmation.py
+++ b/libs/control/tarragonhall_control/_confirmation.py
@@ -1,4 +1,4 @@
-"""One confirmation of the lead by a majority for all heartbeats of a short time."""
+"""Shares one leadership confirmation by a majority among heartbeats of a short period."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 import eventlet
 from eventlet.event import Event
 
-# Seconds. Each round of a confirmation is a message to each member and back, for hundreds of
-# heartbeats a second; leases of followers end many times later than this.
-GATHER_SECONDS = 0.05
+# A confirmation costs a round trip to each member, and there are hundreds of heartbeats a second.
+# Far below the leases of followers, which a late reply must not let expire.
+BATCH_SECONDS = 0.05
 
 
 class SharedConfirmation:
-    """Gathers callers and confirms once for all of them, after the last one has joined."""
+    """Batches callers and confirms once for all of them, after the last one has joined."""
 
     __slots__ = ("_confirm", "_next")
 
@@ -22,15 +22,15 @@
         self._next: Event | None = None
 
     def join(self) -> bool:
-        """Return whether a majority confirmed the lead at some time after this was called."""
+        """Return whether a majority confirmed the leadership at some time after this call."""
         if self._next is None:
             self._next = Event()
             eventlet.spawn_n(self._run, self._next)
         return self._next.wait()
 
     def _run(self, event: Event) -> None:
-        eventlet.sleep(GATHER_SECONDS)
-        # Whoever comes from here on waits for the next one: this one may be answered by then.
+        eventlet.sleep(BATCH_SECONDS)
+        # Later callers wait for the next round: members may already have answered this one.
         self._next = None
         confirmed = False
         try:
--- a/libs/control/tarragonhall_control/_first_operator.py
+++ b/libs/control/tarragonhall_control/_first_operator.py
@@ -1,4 +1,4 @@
-"""The first operator: made by `--init` on one member, put in the log by the running group."""
+"""The first operator: created by `--init` on one member, committed by the running group."""
 
 from __future__ import annotations
 
@@ -29,42 +29,42 @@
 
 FILE_NAME = "first-operator.json"
 FIRST_OPERATOR = "root"
-# Whoever set the deployment up uses the token as soon as entries are ready, which they are within
-# moments of the election. Tried less often, the token would be refused as unknown until then.
-RETRY_SECONDS = 0.02
-REQUEST_SECONDS = 2.0
+# The token is used as soon as entries are ready, which is right after the election. With a longer
+# delay it would be rejected as unknown until the operator is committed.
+RETRY_DELAY_SECONDS = 0.02
+REQUEST_TIMEOUT_SECONDS = 2.0
 
 
 def initialise(settings: ControlSettings, instance: str) -> str:
-    """Make the data folder and the first operator, and return the operator's token.
+    """Create the data folder and the first operator, and return the operator's token.
 
-    The token is shown this once; the folder keeps its hash alone. Of several founding members one
-    is initialised, the others are simply started: whoever leads puts the operator in the log.
+    Only the token's hash is stored. Of several initial members, one is initialised and the others
+    are only started: the leader commits the operator.
     """
     if instance not in settings.members:
-        text = f"{instance!r} is none of the founding members"
+        text = f"{instance!r} is not one of the initial members"
         raise InputError([Finding("/control/members", text)])
     folder = Path(settings.data_folder)
     if (folder / FILE_NAME).exists() or (folder / LOG_FOLDER).exists():
-        raise StorageError(f"{folder}: is initialised already")
+        raise StorageError(f"{folder}: already initialised")
     token = new_secret(TOKEN_PREFIX)
     content = {"name": FIRST_OPERATOR, "token_hash": secret_hash(token)}
     try:
         folder.mkdir(parents=True, exist_ok=True)
-        _write_synced(folder / FILE_NAME, json.dumps(content))
+        _write_durably(folder / FILE_NAME, json.dumps(content))
     except OSError as error:
         raise StorageError(f"{folder}: {error.strerror}") from error
     return token
 
 
 def propose_first_operator(member: ControlMember, settings: ControlSettings) -> None:
-    """Put the operator of this folder in the log, however long it takes, then remove the file."""
+    """Commit the operator of this folder, retrying until it succeeds, then remove the file."""
     path = Path(settings.data_folder) / FILE_NAME
     if not path.exists():
         return
     content = json.loads(path.read_text())
     command = CreateFirstOperator(content["name"], content["token_hash"])
-    # The hash makes the id the same after a restart, so that it takes effect once.
+    # Derived from the hash, the id is the same after a restart, and the command applies once.
     request_id = f"first-operator-{content['token_hash'][:16]}"
     while not member.stopped:
         result = _propose(member, command, request_id)
@@ -72,11 +72,11 @@
             log.info("control.first_operator", result=type(result).__name__)
             path.unlink(missing_ok=True)
             return
-        eventlet.sleep(RETRY_SECONDS)
+        eventlet.sleep(RETRY_DELAY_SECONDS)
 
 
 def _propose(member: ControlMember, command: object, request_id: str) -> object | None:
-    """Return the result, here or from the leader, or None where it has to be tried again."""
+    """Propose locally or to the leader; return the result, or None to retry."""
     if member.is_leader():
         try:
             return member.commit(command, request_id)
@@ -86,15 +86,15 @@
     if address is None:
         return None
     try:
-        link = member.context.hub.wait_for(address, REQUEST_SECONDS)
-        reply = link.request(Propose(request_id, command), REQUEST_SECONDS)
+        link = member.context.hub.wait_for(address, REQUEST_TIMEOUT_SECONDS)
+        reply = link.request(Propose(request_id, command), REQUEST_TIMEOUT_SECONDS)
     except LinkError:
         return None
     return reply.result if isinstance(reply, Proposed) else None
 
 
-def _write_synced(path: Path, text: str) -> None:
-    """Write a file so that it is whole after a power cut, and the name of it too."""
+def _write_durably(path: Path, text: str) -> None:
+    """Write a file atomically, so that it survives a power cut complete and under its name."""
     temporary = path.with_suffix(".tmp")
     with open(temporary, "w", opener=_open_private) as file:
         file.write(text)
--- a/libs/control/tarragonhall_control/_followers.py
+++ b/libs/control/tarragonhall_control/_followers.py
@@ -1,7 +1,7 @@
-"""Who follows settings and view over a link, and what each was last sent.
+"""Pushes settings and view to the followers and tracks the versions each was sent.
 
-Entries get all settings. A process with nothing but sidecars gets them without organisations and
-keys: it admits nobody, and at 15,000 organisations they would take a fifth of its memory.
+Entries get all settings. A process that runs only sidecars gets them without organisations and
+keys: it admits no callers, and 15,000 organisations would take a fifth of its memory.
 """
 
 from __future__ import annotations
@@ -23,34 +23,34 @@
 from tarragonhall_state import ControlState
 from tarragonhall_wire import Link, Metrics
 
-# A follower that is further behind gets the whole view.
-KEPT_VIEWS = 32
+# A follower that is more epochs behind gets the whole view.
+MAX_STORED_VIEWS = 32
 
 
 @dataclass(slots=True)
-class Sent:
-    """What went to a follower last, and whether it admits callers.
+class SentVersions:
+    """The versions last sent to a follower, and whether it admits callers.
 
     `relay_version` is None for a follower that takes no relay documents.
     """
 
     revision: int
     epoch: int
-    admits: bool = False
+    admits_callers: bool = False
     relay_version: int | None = None
 
 
 @dataclass(slots=True, frozen=True)
-class Lack:
-    """What a follower needs: settings since `base`, the view since `epoch`, the relay document."""
+class MissingUpdates:
+    """What a follower lacks: settings since `base`, the view since `epoch`, the relay document."""
 
     base: int | None
     epoch: int | None
     relay: bool
-    admits: bool
+    admits_callers: bool
 
     def is_empty(self) -> bool:
-        """Return whether the follower has everything."""
+        """Return whether the follower is up to date."""
         return self.base is None and self.epoch is None and not self.relay
 
 
@@ -61,10 +61,10 @@
     """Return the part of a policy that a node needs."""
     if policy is None or isinstance(node, EntryRecord):
         return policy
-    return _without_callers(policy)
+    return _models_only(policy)
 
 
-def _without_callers(policy: PolicyDelta) -> PolicyDelta:
+def _models_only(policy: PolicyDelta) -> PolicyDelta:
     return replace(
         policy,
         models_only=True,
@@ -76,10 +76,10 @@
 
 
 class Followers:
-    """Pushes news to every follower as soon as something changed.
+    """Pushes updates to every follower as soon as something changes.
 
-    A push that is lost costs nothing but time: the follower's next heartbeat says what it has, and
-    the reply brings the rest.
+    A lost push only costs time: the follower's next heartbeat reports its versions, and the reply
+    brings the rest.
     """
 
     __slots__ = (
@@ -94,13 +94,13 @@
     def __init__(self, state: ControlState, metrics: Metrics) -> None:
         self._state = state
         self._metrics = metrics
-        self._sent_by_link: dict[Link, Sent] = {}
+        self._sent_by_link: dict[Link, SentVersions] = {}
         self._link_by_address: dict[str, Link] = {}
-        self._pushed = Sent(0, 0, relay_version=0)
-        # The newest views, so that followers can be sent what changed since theirs.
+        self._pushed = SentVersions(0, 0, relay_version=0)
+        # The newest views, from which deltas to the views of followers are computed.
         self._view_by_epoch: OrderedDict[int, View] = OrderedDict()
 
-    def note(
+    def record_sent(
         self,
         link: Link,
         node: Node,
@@ -108,48 +108,50 @@
         epoch: int,
         relay_version: int | None = None,
     ) -> None:
-        """Remember what a follower has, as of its heartbeat and the reply to it.
+        """Store the versions of a follower after the reply to its heartbeat.
 
-        An entry and sidecars may share a process, and so a link; then news holds everything.
+        An entry and sidecars may share a process and its link; updates then hold all settings.
         """
         earlier = self._sent_by_link.get(link)
-        admits = isinstance(node, EntryRecord) or (earlier is not None and earlier.admits)
-        self._sent_by_link[link] = Sent(revision, epoch, admits, relay_version)
-        self.reach(link)
+        admits_callers = isinstance(node, EntryRecord) or (
+            earlier is not None and earlier.admits_callers
+        )
+        self._sent_by_link[link] = SentVersions(revision, epoch, admits_callers, relay_version)
+        self.add_link(link)
 
-    def reach(self, link: Link) -> None:
-        """Send what is for the process behind a link there, before it is known what it has."""
+    def add_link(self, link: Link) -> None:
+        """Use a link for messages to its process, before the versions of the follower are known."""
         self._link_by_address[link.peer.address] = link
 
     def view_since(self, epoch: int) -> tuple[View | None, ViewDelta | None]:
-        """Return what leads a follower from its epoch to the newest view: all, or what changed."""
+        """Return the newest view or the delta to it; both None where the epoch is up to date."""
         newest = self._newest_view()
         if epoch >= newest.epoch:
             return None, None
-        held = self._view_by_epoch.get(epoch)
-        return (newest, None) if held is None else (None, view_delta(held, newest))
+        base_view = self._view_by_epoch.get(epoch)
+        return (newest, None) if base_view is None else (None, view_delta(base_view, newest))
 
     def _newest_view(self) -> View:
         newest = self._view_by_epoch.get(self._state.epoch)
         if newest is None:
             newest = self._view_by_epoch[self._state.epoch] = self._state.view()
-            while len(self._view_by_epoch) > KEPT_VIEWS:
+            while len(self._view_by_epoch) > MAX_STORED_VIEWS:
                 self._view_by_epoch.popitem(last=False)
         return newest
 
     def forget(self, link: Link) -> None:
-        """Forget a link that has closed."""
+        """Drop a closed link."""
         self._sent_by_link.pop(link, None)
         if self._link_by_address.get(link.peer.address) is link:
             del self._link_by_address[link.peer.address]
 
     def clear(self) -> None:
-        """Forget all: this member does not lead any more."""
+        """Drop all followers when this member stops leading."""
         self._sent_by_link.clear()
         self._link_by_address.clear()
 
     def send(self, address: str, message: object) -> None:
-        """Send a one-way message to the follower at an address, where it has a link to here."""
+        """Send a one-way message to the follower at an address, if it has a link to this member."""
         link = self._link_by_address.get(address)
         if link is None:
             self._metrics.count("control.send_failed")
@@ -163,50 +165,50 @@
         return len(self._sent_by_link)
 
     def push(self) -> None:
-        """Send each follower what it lacks; those who lack the same share one delta."""
-        newest = Sent(
+        """Send each follower the updates it lacks; equal updates are computed once."""
+        newest = SentVersions(
             self._state.revision, self._state.epoch, relay_version=self._state.relay_version
         )
-        # Asked after every step of the log. Going through all followers each time would cost the
-        # square of their number a second, since each one's heartbeat is a step.
+        # Called after every step of the log, and each heartbeat causes a step: visiting all
+        # followers each time would cost the square of their number per second.
         if self._pushed == newest:
             return
         self._pushed = newest
-        news_by_lack: dict[Lack, News] = {}
+        update_by_missing: dict[MissingUpdates, News] = {}
         for link, sent in list(self._sent_by_link.items()):
-            lack = self._lack(sent, newest)
-            if lack.is_empty():
+            missing = self._missing_updates(sent, newest)
+            if missing.is_empty():
                 continue
-            if lack not in news_by_lack:
-                news_by_lack[lack] = self._news(lack)
+            if missing not in update_by_missing:
+                update_by_missing[missing] = self._build_update(missing)
             try:
-                link.send(news_by_lack[lack])
+                link.send(update_by_missing[missing])
             except LinkError:
                 self._metrics.count("control.news_failed")
                 self.forget(link)
                 continue
             self._metrics.count("control.news_sent")
             relay_version = None if sent.relay_version is None else newest.relay_version
-            self._sent_by_link[link] = Sent(
-                newest.revision, newest.epoch, sent.admits, relay_version
+            self._sent_by_link[link] = SentVersions(
+                newest.revision, newest.epoch, sent.admits_callers, relay_version
             )
 
-    def _lack(self, sent: Sent, newest: Sent) -> Lack:
-        return Lack(
+    def _missing_updates(self, sent: SentVersions, newest: SentVersions) -> MissingUpdates:
+        return MissingUpdates(
             base=sent.revision if sent.revision < newest.revision else None,
             epoch=sent.epoch if sent.epoch < newest.epoch else None,
             relay=sent.relay_version is not None and sent.relay_version < newest.relay_version,
-            admits=sent.admits,
+            admits_callers=sent.admits_callers,
         )
 
-    def _news(self, lack: Lack) -> News:
-        policy = self._state.policy_since(lack.base) if lack.base is not None else None
-        if policy is not None and not lack.admits:
-            policy = _without_callers(policy)
-        view, delta = (None, None) if lack.epoch is None else self.view_since(lack.epoch)
+    def _build_update(self, missing: MissingUpdates) -> News:
+        policy = self._state.policy_since(missing.base) if missing.base is not None else None
+        if policy is not None and not missing.admits_callers:
+            policy = _models_only(policy)
+        view, delta = (None, None) if missing.epoch is None else self.view_since(missing.epoch)
         return News(
             policy=policy,
             view=view,
             view_delta=delta,
-            relay=self._state.relay if lack.relay else None,
+            relay=self._state.relay if missing.relay else None,
         )
--- a/libs/control/tarragonhall_control/_service.py
+++ b/libs/control/tarragonhall_control/_link_service.py
@@ -1,4 +1,4 @@
-"""Answers what entries and sidecars ask over links."""
+"""Handles the requests of entries and sidecars over links."""
 
 from __future__ import annotations
 
@@ -44,8 +44,8 @@
 from tarragonhall_control._followers import policy_for
 from tarragonhall_control._member import ControlMember
 
-# What other processes may put in the log. Operators' commands go through the admin API, which
-# checks their tokens; a process that knows the link secret must not get around that.
+# Commands that other processes may propose. Operators' commands go through the admin API, which
+# checks their tokens; a process that knows the link secret must not bypass that.
 PROPOSABLE = (
     OpenProgram,
     OpenCall,
@@ -59,13 +59,13 @@
     RetireStore,
     ConfirmRetired,
     EvacuateZone,
-    # Refused by the state machine as soon as there is any operator.
+    # Rejected by the state machine once any operator exists.
     CreateFirstOperator,
 )
 
 
 class LinkService:
-    """The handlers of the messages between any process and a control member."""
+    """Handlers of messages from other processes to a control member."""
 
     __slots__ = ("_confirmation", "_member")
 
@@ -74,53 +74,57 @@
         self._confirmation = SharedConfirmation(member.confirm)
 
     def register(self) -> None:
-        """Take over the messages for control members."""
+        """Register the message handlers."""
         hub = self._member.context.hub
         hub.handle(Propose, self.on_propose)
         hub.handle(Heartbeat, self.on_heartbeat)
         hub.handle(Leaving, self.on_leaving)
-        hub.handle(QueryCall, self._reader(self._call))
-        hub.handle(QueryExecution, self._reader(self._execution))
-        hub.handle(QueryProgram, self._reader(self._program))
-        hub.handle(QueryLiving, self._reader(self._living))
-        hub.handle(QueryQuarantine, self._reader(self._quarantine))
-        hub.handle(QueryRelay, lambda _link, _query: self._member.relay_held())
+        hub.handle(QueryCall, self._confirmed_reader(self._call))
+        hub.handle(QueryExecution, self._confirmed_reader(self._execution))
+        hub.handle(QueryProgram, self._confirmed_reader(self._program))
+        hub.handle(QueryLiving, self._confirmed_reader(self._living))
+        hub.handle(QueryQuarantine, self._confirmed_reader(self._quarantine))
+        hub.handle(QueryRelay, lambda _link, _query: self._member.relay_document())
         hub.handle(QueryRetired, lambda _link, query: self._member.retirement(query.store_id))
 
     def on_propose(self, _link: Link, message: Propose) -> Proposed | NotLeader | Busy:
         """Commit a command for another process."""
         if not isinstance(message.body, PROPOSABLE):
-            raise LinkError(f"{type(message.body).__name__} is not for links to propose")
-        return self._committed(message.body, message.request_id)
+            raise LinkError(f"{type(message.body).__name__} cannot be proposed over a link")
+        return self._commit(message.body, message.request_id)
 
-    def on_heartbeat(self, link: Link, beat: Heartbeat) -> Fresh | NotLeader:
-        """Tell a follower what it lacks, once a majority has confirmed the lead.
+    def on_heartbeat(self, link: Link, heartbeat: Heartbeat) -> Fresh | NotLeader:
+        """Send a follower the updates it lacks after a majority confirmed the leadership.
 
-        Confirmation must begin after the heartbeat arrived. One from before would let a leader
-        that was just cut off call settings fresh that a new leader has already changed.
+        The confirmation must start after the heartbeat arrived. With an earlier one, a leader that
+        was just partitioned could report settings as fresh that a new leader has already changed.
         """
         member = self._member
         if not member.is_leader():
             return self._not_leader()
-        member.hear(beat.node, link)
-        member.followers.reach(link)
-        if not isinstance(beat.node, StoreRecord):
-            member.orders.note(beat.node, beat.load)
+        member.on_heartbeat(heartbeat.node, link)
+        member.followers.add_link(link)
+        if not isinstance(heartbeat.node, StoreRecord):
+            member.orders.record_load(heartbeat.node, heartbeat.load)
         if not self._confirmation.join():
             return self._not_leader()
         state = member.state
-        member.note_settled(beat.settled_owners)
-        behind = beat.settings_revision < state.revision
-        view, delta = member.followers.view_since(beat.view_epoch)
-        policy = state.policy_since(beat.settings_revision) if behind else None
-        relay_outdated = beat.relay_version is not None and beat.relay_version < state.relay_version
-        relay_version = state.relay_version if relay_outdated else beat.relay_version
-        member.followers.note(link, beat.node, state.revision, state.epoch, relay_version)
+        member.on_owners_settled(heartbeat.settled_owners)
+        behind = heartbeat.settings_revision < state.revision
+        view, delta = member.followers.view_since(heartbeat.view_epoch)
+        policy = state.policy_since(heartbeat.settings_revision) if behind else None
+        relay_outdated = (
+            heartbeat.relay_version is not None and heartbeat.relay_version < state.relay_version
+        )
+        relay_version = state.relay_version if relay_outdated else heartbeat.relay_version
+        member.followers.record_sent(
+            link, heartbeat.node, state.revision, state.epoch, relay_version
+        )
         return Fresh(
             settings_revision=state.revision,
             view_epoch=state.epoch,
             fencing=member.loop.replica.status().term,
-            policy=policy_for(beat.node, policy),
+            policy=policy_for(heartbeat.node, policy),
             view=view,
             view_delta=delta,
             relay=state.relay if relay_outdated else None,
@@ -128,8 +132,8 @@
         )
 
     def on_leaving(self, _link: Link, message: Leaving) -> Proposed | NotLeader | Busy:
-        """Take a process out of the view at its own wish."""
-        self._member.nodes.retire(message.node)
+        """Remove a process from the view on its leave notice."""
+        self._member.nodes.mark_left(message.node)
         try:
             return Proposed(self._member.remove(message.node))
         except LoopBusyError:
@@ -137,7 +141,7 @@
         except LeadUnknownError:
             return self._not_leader()
 
-    def _committed(self, body: object, request_id: str) -> Proposed | NotLeader | Busy:
+    def _commit(self, body: object, request_id: str) -> Proposed | NotLeader | Busy:
         try:
             return Proposed(self._member.commit(body, request_id))
         except LoopBusyError:
@@ -149,8 +153,8 @@
     def _not_leader(self) -> NotLeader:
         return NotLeader(self._member.leader_address())
 
-    def _reader(self, read: Callable[[Any], object]) -> Callable[[Link, object], object]:
-        """Return a handler that reads only after a majority confirmed the lead."""
+    def _confirmed_reader(self, read: Callable[[Any], object]) -> Callable[[Link, object], object]:
+        """Return a handler that reads only after a majority confirmed the leadership."""
 
         def handler(_link: Link, message: object) -> object:
             if not self._member.confirm():
--- a/libs/control/tarragonhall_control/_member.py
+++ b/libs/control/tarragonhall_control/_member.py
@@ -1,4 +1,4 @@
-"""One control member: its log loop, its links to the other members, and what it does as leader."""
+"""One control member: its log loop, its links to other members and its duties as leader."""
 
 from __future__ import annotations
 
@@ -41,40 +41,40 @@
 from tarragonhall_state import ControlState
 from tarragonhall_wire import Link, ProcessContext
 
-from tarragonhall_control._ended import stop_ended
 from tarragonhall_control._followers import Followers
-from tarragonhall_control._nodes import Node, NodeWatch, node_key
+from tarragonhall_control._nodes import Node, NodeMonitor, node_key
 from tarragonhall_control._order_sender import OrderSender
+from tarragonhall_control._program_stop import stop_ended_programs
 from tarragonhall_control._settings import ControlSettings
 
 log = structlog.get_logger(__name__)
 
 LOG_FOLDER = "log"
-# A node is out of the view at most this much later than its timeout.
-WATCH_SECONDS = 0.25
-# Programs expire to the second; each round that finds something costs one commit.
-EXPIRE_SECONDS = 1.0
-# Loading weights takes tens of seconds; half a second until the next order is little beside it.
-ORDER_SECONDS = 0.5
+# An unresponsive node leaves the view at most this long after its timeout.
+NODE_CHECK_SECONDS = 0.25
+# Programs expire to the second; each check that finds expired ones costs one commit.
+EXPIRY_CHECK_SECONDS = 1.0
+# Short compared with loading weights, which takes tens of seconds.
+ORDER_STEP_SECONDS = 0.5
 
 
 class ControlMember:
-    """What the link handlers and the admin API ask of this member."""
+    """The operations of this member for the link handlers and the admin API."""
 
     __slots__ = (
         "_announcing",
-        "_founding",
         "_leads",
         "_ownership_s",
         "_region_by_zone",
         "_settling",
-        "stopped",
+        "_store_bootstrap",
         "context",
         "followers",
         "group",
         "nodes",
         "orders",
         "state",
+        "stopped",
     )
 
     def __init__(
@@ -83,11 +83,13 @@
         self.context = context
         self.state = ControlState()
         self.followers = Followers(self.state, context.metrics)
-        self.nodes = NodeWatch(settings.entry_timeout_ms / 1000, settings.server_timeout_ms / 1000)
+        self.nodes = NodeMonitor(
+            settings.entry_timeout_ms / 1000, settings.server_timeout_ms / 1000
+        )
         self.orders = OrderSender(self)
         self._announcing: set[str] = set()
         losses = LossesBorne(settings.losses_borne, settings.zone_losses_borne)
-        self._founding = StoreFounding(losses)
+        self._store_bootstrap = StoreFounding(losses)
         self._leads = False
         self._settling = False
         self._ownership_s = settings.ownership_ms / 1000
@@ -109,26 +111,28 @@
         return self.group.loop
 
     def start(self) -> None:
-        """Begin to take part in the group."""
+        """Join the group and start the periodic tasks of the leader."""
         self.context.hub.on_down(self._on_link_down)
         self.context.hub.on_up(lambda link: self.nodes.link_opened(link.peer.incarnation))
         self.group.start()
-        eventlet.spawn_n(self._repeat, WATCH_SECONDS, self._remove_silent_nodes)
-        eventlet.spawn_n(self._repeat, EXPIRE_SECONDS, self._expire_programs)
-        eventlet.spawn_n(self._repeat, ORDER_SECONDS, self.orders.step)
-        eventlet.spawn_n(self._repeat, WATCH_SECONDS, self._found_stores)
+        eventlet.spawn_n(
+            self._repeat_as_leader, NODE_CHECK_SECONDS, self._remove_unresponsive_nodes
+        )
+        eventlet.spawn_n(self._repeat_as_leader, EXPIRY_CHECK_SECONDS, self._expire_programs)
+        eventlet.spawn_n(self._repeat_as_leader, ORDER_STEP_SECONDS, self.orders.step)
+        eventlet.spawn_n(self._repeat_as_leader, NODE_CHECK_SECONDS, self._bootstrap_stores)
 
     def stop(self) -> None:
-        """Take no further part."""
+        """Leave the group and end the periodic tasks."""
         self.stopped = True
         self.group.stop()
 
     def is_leader(self) -> bool:
-        """Return whether this member leads and its lease holds right now."""
+        """Return whether this member leads and its lease is valid."""
         return self.group.is_leader()
 
     def leader_address(self) -> str | None:
-        """Return the link address of the leader, where it is known and not this member."""
+        """Return the link address of the leader if it is known and another member."""
         return self.group.leader_address()
 
     def other_addresses(self) -> list[str]:
@@ -137,31 +141,31 @@
         return [one.address for one in members if one.address != self.context.link_address]
 
     def member_addresses(self) -> tuple[str, ...]:
-        """Return the link addresses of all members, for processes that follow."""
+        """Return the link addresses of all members, for followers."""
         return tuple(member.address for member in self.loop.replica.status().members)
 
-    def relay_held(self) -> RelayHeld | NotLeader:
-        """Return the relay document in force, once a majority has confirmed the lead."""
+    def relay_document(self) -> RelayHeld | NotLeader:
+        """Return the relay document in force after a majority confirmed the leadership."""
         if not self.confirm():
             return NotLeader(self.leader_address())
         return RelayHeld(self.state.relay)
 
     def retirement(self, store_id: str) -> StoreRetiring | Refusal | NotLeader:
-        """Return how far the retirement of a store is, once a majority has confirmed the lead."""
+        """Return the progress of a store's retirement after a majority confirmed the leadership."""
         if not self.confirm():
             return NotLeader(self.leader_address())
         return self.state.retirement(store_id)
 
     def zones(self) -> list[str]:
-        """Return the deployment's availability zones, as told or else as processes announced."""
+        """Return the availability zones from the settings, or else those announced by processes."""
         if self._region_by_zone:
             return sorted(self._region_by_zone)
         view = self.state.view()
         found = {one.availability_zone for one in (*view.entries, *view.servers, *view.stores)}
         return sorted(found | set(view.evacuated_zones))
 
-    def unknown_zone(self, availability_zone: str) -> Refusal | None:
-        """Return the refusal of an order for a zone that the deployment does not have."""
+    def refuse_unknown_zone(self, availability_zone: str) -> Refusal | None:
+        """Return a refusal if the deployment has no such zone, None otherwise."""
         known = self.zones()
         if availability_zone in known:
             return None
@@ -169,41 +173,41 @@
         return Refusal(RefusalCode.NOT_FOUND, message)
 
     def commit(self, body: object, request_id: str | None = None) -> object:
-        """Commit a command with this leader's clock and return its result.
+        """Commit a command with the leader's clock and return its result.
 
-        Raises `LoopBusyError` where it is known not to be in the log, `LeadUnknownError` where
-        nobody can tell.
+        Raises `LoopBusyError` if the command is certainly not in the log, `LeadUnknownError` if its
+        outcome is unknown.
         """
         if not self.is_leader():
-            raise LeadUnknownError("this member does not lead")
+            raise LeadUnknownError("this member is not the leader")
         request_id = request_id or new_id("req", self.context.rng)
         command = Command(request_id, self.context.wall_ms(), body)
         started = self.context.monotonic()
         result = self.loop.propose(encode(command), PROPOSE_SECONDS)
         waited_ms = (self.context.monotonic() - started) * 1000
         self.context.metrics.timing("control.commit", waited_ms)
-        stop_ended(self.state, self.followers, body, result)
+        stop_ended_programs(self.state, self.followers, body, result)
         return result
 
     def confirm(self) -> bool:
-        """Return whether a majority confirmed, from now on, that this member leads."""
+        """Return whether a majority confirmed after this call that this member leads."""
         return self.group.confirm()
 
-    def hear(self, node: Node, link: Link) -> None:
-        """Take note of a heartbeat and announce the node where it is new or changed."""
-        self.nodes.heard(node, self.context.monotonic(), link)
+    def on_heartbeat(self, node: Node, link: Link) -> None:
+        """Record a heartbeat and announce the node if it is new or changed."""
+        self.nodes.record_heartbeat(node, self.context.monotonic(), link)
         key = node_key(node)
         if key in self._announcing:
             return
-        if not self.nodes.announce(node, self.state.announced(node)):
+        if not self.nodes.needs_announcement(node, self.state.announced(node)):
             return
         self._announcing.add(key)
         eventlet.spawn_n(self._announce, node)
 
-    def note_settled(self, owners_version: int) -> None:
-        """Commit that earlier owners of rates have stopped, where an entry has waited them out.
+    def on_owners_settled(self, owners_version: int) -> None:
+        """Commit that earlier owners of rates have stopped, as reported by an entry that waited.
 
-        A new life of an entry can then own at once what its earlier life owned.
+        A new incarnation of an entry can then own at once what the previous one owned.
         """
         if self._settling or owners_version == 0 or owners_version != self.state.unsettled_owners:
             return
@@ -211,7 +215,7 @@
         eventlet.spawn_n(self._settle, owners_version)
 
     def remove(self, node: Node, stopped: bool = False) -> object:
-        """Take one life of a node out of the view; `stopped` as in `RemoveEntry`."""
+        """Remove an incarnation of a node from the view; `stopped` as in `RemoveEntry`."""
         match node:
             case EntryRecord():
                 return self.commit(RemoveEntry(node.entry_id, node.incarnation, stopped))
@@ -224,7 +228,7 @@
         try:
             self.commit(_announcement(node))
         except (LoopBusyError, LeadUnknownError):
-            # The node's next heartbeat tries again, here or at the next leader.
+            # Retried with the node's next heartbeat, here or at the next leader.
             self.context.metrics.count("control.announce_failed")
         finally:
             self._announcing.discard(node_key(node))
@@ -234,34 +238,36 @@
             self.commit(SettleOwners(owners_version))
             log.info("control.owners_settled", version=owners_version)
         except (LoopBusyError, LeadUnknownError):
-            # The next heartbeat of any entry tries again, here or at the next leader.
+            # Retried with the next heartbeat of any entry, here or at the next leader.
             self.context.metrics.count("control.settle_failed")
         finally:
             self._settling = False
 
-    def _remove_silent_nodes(self) -> None:
+    def _remove_unresponsive_nodes(self) -> None:
         self.context.metrics.gauge("control.followers", len(self.followers))
         now = self.context.monotonic()
         for node in self.nodes.expired(self.state.view(), now):
-            silent_s = self.nodes.silence(node, now)
-            log.warning("control.node_silent", node=node_key(node), silent_s=round(silent_s, 3))
+            elapsed_s = self.nodes.seconds_since_heartbeat(node, now)
+            log.warning("control.node_silent", node=node_key(node), silent_s=round(elapsed_s, 3))
             self.context.timeline.add("node_silent", node=node_key(node))
-            # Its lease began at a heartbeat that was heard here, or by a leader before this one.
-            self.remove(node, stopped=silent_s > self._ownership_s)
+            # Its lease began at a heartbeat received here or by an earlier leader.
+            self.remove(node, stopped=elapsed_s > self._ownership_s)
 
-    def _found_stores(self) -> None:
-        founders = self._founding.founders(self.state.view(), self.context.monotonic())
-        if founders:
-            log.info("control.stores_founded", founders=founders)
-            self.commit(FoundStores(founders))
+    def _bootstrap_stores(self) -> None:
+        bootstrap_members = self._store_bootstrap.founders(
+            self.state.view(), self.context.monotonic()
+        )
+        if bootstrap_members:
+            log.info("control.stores_founded", founders=bootstrap_members)
+            self.commit(FoundStores(bootstrap_members))
 
     def _expire_programs(self) -> None:
         due_ms = self.state.next_due_ms()
         if due_ms is not None and due_ms <= self.context.wall_ms():
             self.commit(ExpirePrograms())
 
-    def _repeat(self, seconds: float, action: Callable[[], None]) -> None:
-        """Do something again and again while this member leads."""
+    def _repeat_as_leader(self, seconds: float, action: Callable[[], None]) -> None:
+        """Call an action periodically while this member leads."""
         while not self.stopped:
             eventlet.sleep(seconds)
             if not self.is_leader():
@@ -278,7 +284,7 @@
     def _on_role(self, changed: RoleChanged) -> None:
         leads = changed.leads
         if leads and not self._leads:
-            self.nodes.grant_all(self.context.monotonic())
+            self.nodes.reset_timeouts(self.context.monotonic())
         if not leads:
             self.followers.clear()
         self._leads = leads
--- a/libs/control/tarragonhall_control/_messages.py
+++ b/libs/control/tarragonhall_control/_messages.py
@@ -1,4 +1,4 @@
-"""Messages that only control members send to one another."""
+"""Messages between control members."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @record
 class AdminCall:
-    """An operator's request that reached another member. Reply: `AdminResult`."""
+    """An operator's request, forwarded to the leader. Reply: `AdminResult`."""
 
     method: str
     path: str
--- a/libs/control/tarragonhall_control/_nodes.py
+++ b/libs/control/tarragonhall_control/_nodes.py
@@ -1,4 +1,4 @@
-"""Which entries and backend servers are alive, by their heartbeats, and who must be announced."""
+"""Detects failed nodes by their heartbeats and decides which nodes to announce."""
 
 from __future__ import annotations
 
@@ -6,26 +6,26 @@
 
 Node = EntryRecord | ServerRecord | StoreRecord
 
-# Far above the interval of the checks: a gap like this means that this process itself was paused.
-PAUSE_SECONDS = 1.0
-# An entry whose link closed and that lives dials again within 0.15 s, which is a sign of life. One
-# that was killed is back at its address 0.9 to 1.4 s later and owns its organisations' rates at
-# once; taken out before, it would leave them to others that first wait until it surely stopped.
-CLOSED_LINK_SECONDS = 1.4
+# Far above the interval of the checks: a longer gap means that this process itself was paused.
+PAUSE_THRESHOLD_SECONDS = 1.0
+# A running entry reconnects within 0.15 s of a closed link. A killed entry is back at its address
+# after 0.9 to 1.4 s and then owns its organisations' rates at once. If it left the view before, its
+# rates would go to other entries, which first wait until it has certainly stopped.
+CLOSED_LINK_TIMEOUT_SECONDS = 1.4
 
 
-class NodeWatch:
-    """Last signs of life, in the memory of the leader alone. Times are of one monotonic clock."""
+class NodeMonitor:
+    """The last contact with each node, held by the leader only. Times are monotonic seconds."""
 
     __slots__ = (
         "_checked_at",
         "_closed_at_by_key",
-        "_closed_life_by_key",
-        "_granted_at",
-        "_heard_at_by_key",
-        "_life_by_key",
+        "_closed_incarnation_by_key",
+        "_heartbeat_at_by_key",
+        "_incarnation_by_key",
         "_link_by_key",
-        "_replaced",
+        "_replaced_incarnation_by_key",
+        "_timeouts_reset_at",
         "entry_timeout_s",
         "server_timeout_s",
     )
@@ -33,109 +33,109 @@
     def __init__(self, entry_timeout_s: float, server_timeout_s: float) -> None:
         self.entry_timeout_s = entry_timeout_s
         self.server_timeout_s = server_timeout_s
-        self._heard_at_by_key: dict[str, float] = {}
+        self._heartbeat_at_by_key: dict[str, float] = {}
         self._link_by_key: dict[str, object] = {}
         self._closed_at_by_key: dict[str, float] = {}
-        self._closed_life_by_key: dict[str, str] = {}
-        self._life_by_key: dict[str, str] = {}
-        self._replaced: dict[str, str] = {}
-        self._granted_at = 0.0
+        self._closed_incarnation_by_key: dict[str, str] = {}
+        self._incarnation_by_key: dict[str, str] = {}
+        self._replaced_incarnation_by_key: dict[str, str] = {}
+        self._timeouts_reset_at = 0.0
         self._checked_at = 0.0
 
-    def grant_all(self, now: float) -> None:
-        """Give everyone a full timeout from now on.
+    def reset_timeouts(self, now: float) -> None:
+        """Restart the timeouts of all nodes.
 
-        A new leader has heard no heartbeat yet. Without this it would take every node out of the
-        view within its first second, and all running work with it.
+        A new leader has received no heartbeats yet. Without this it would remove every node from
+        the view within its first second, and all running work with it.
         """
-        self._heard_at_by_key.clear()
+        self._heartbeat_at_by_key.clear()
         self._closed_at_by_key.clear()
-        self._granted_at = now
+        self._timeouts_reset_at = now
         self._checked_at = now
 
-    def heard(self, node: Node, now: float, link: object = None) -> None:
-        """Note a heartbeat and the link that it came over."""
+    def record_heartbeat(self, node: Node, now: float, link: object = None) -> None:
+        """Record a heartbeat and the link that it came over."""
         key = node_key(node)
-        self._heard_at_by_key[key] = now
+        self._heartbeat_at_by_key[key] = now
         self._link_by_key[key] = link
-        self._life_by_key[key] = node.incarnation
+        self._incarnation_by_key[key] = node.incarnation
         self._closed_at_by_key.pop(key, None)
 
     def link_closed(self, link: object, now: float) -> None:
-        """Note that a link closed: whoever was last heard over it may be gone.
+        """Record a closed link: nodes that sent their last heartbeat over it may be gone.
 
-        A killed entry's callers wait for rate tokens until it is out of the view. Its links close
-        at once, so waiting for its whole timeout would only make them wait longer.
+        A killed entry's callers wait for rate tokens until it leaves the view. Its links close at
+        once, so waiting for its whole timeout would only delay them.
         """
         for key, newest in list(self._link_by_key.items()):
             if newest is link:
                 del self._link_by_key[key]
                 self._closed_at_by_key[key] = now
-                self._closed_life_by_key[key] = self._life_by_key[key]
+                self._closed_incarnation_by_key[key] = self._incarnation_by_key[key]
 
     def link_opened(self, incarnation: str) -> None:
-        """Take a new link of a process as a sign of life of whoever was heard over its old one.
+        """Treat nodes of a closed link as alive once their process opens a new one.
 
-        Its heartbeat over the new link comes up to a second later; taken for dead until then, a
-        healthy entry would lose its place in the view at every reset of a connection.
+        The first heartbeat over the new link takes up to a second; without this, a healthy entry
+        would leave the view at every connection reset.
         """
-        for key in [k for k, life in self._closed_life_by_key.items() if life == incarnation]:
-            del self._closed_life_by_key[key]
+        for key in [k for k, one in self._closed_incarnation_by_key.items() if one == incarnation]:
+            del self._closed_incarnation_by_key[key]
             self._closed_at_by_key.pop(key, None)
 
     def is_replaced(self, node: Node) -> bool:
-        """Return whether a later life of the node was announced since.
+        """Return whether a later incarnation of the node was announced, or this one left.
 
-        A heartbeat of the earlier life that was stuck in a queue would otherwise put it back in the
-        view, and work would be sent to a process that is gone.
+        A delayed heartbeat of the earlier incarnation would otherwise put it back in the view, and
+        work would be sent to a process that is gone.
         """
-        return self._replaced.get(node_key(node)) == node.incarnation
+        return self._replaced_incarnation_by_key.get(node_key(node)) == node.incarnation
 
-    def retire(self, node: Node) -> None:
-        """Take no more heartbeats of a life that said that it leaves; one may be on its way."""
-        self._replaced[node_key(node)] = node.incarnation
+    def mark_left(self, node: Node) -> None:
+        """Ignore later heartbeats of an incarnation that left; one may still be in flight."""
+        self._replaced_incarnation_by_key[node_key(node)] = node.incarnation
 
-    def announce(self, node: Node, known: Node | None) -> bool:
-        """Return whether a node must be announced, being new or changed."""
+    def needs_announcement(self, node: Node, known: Node | None) -> bool:
+        """Return whether a node is new or changed; mark the incarnation that it replaces."""
         if self.is_replaced(node) or node == known:
             return False
         if known is not None and known.incarnation != node.incarnation:
-            self._replaced[node_key(node)] = known.incarnation
+            self._replaced_incarnation_by_key[node_key(node)] = known.incarnation
         return True
 
     def expired(self, view: View, now: float) -> list[Node]:
-        """Return the nodes of the view whose heartbeats have stopped."""
-        if now - self._checked_at > PAUSE_SECONDS:
-            # This process was paused. The heartbeats of that time wait unread, or were lost.
-            self.grant_all(now)
+        """Return the nodes of the view that have timed out or lost their link."""
+        if now - self._checked_at > PAUSE_THRESHOLD_SECONDS:
+            # This process was paused; heartbeats of that time are unread or lost.
+            self.reset_timeouts(now)
         self._checked_at = now
-        found: list[Node] = []
+        expired: list[Node] = []
         for entry in view.entries:
-            silent = now - self._last_sign(entry) > self.entry_timeout_s
-            if silent or self._is_lost(entry, now):
-                found.append(entry)
+            timed_out = now - self._last_heartbeat_at(entry) > self.entry_timeout_s
+            if timed_out or self._is_disconnected(entry, now):
+                expired.append(entry)
         for server in view.servers:
-            if now - self._last_sign(server) > self.server_timeout_s:
-                found.append(server)
+            if now - self._last_heartbeat_at(server) > self.server_timeout_s:
+                expired.append(server)
         for store in view.stores:
-            if now - self._last_sign(store) > self.server_timeout_s:
-                found.append(store)
-        return found
+            if now - self._last_heartbeat_at(store) > self.server_timeout_s:
+                expired.append(store)
+        return expired
 
-    def silence(self, node: Node, now: float) -> float:
-        """Return for how long nothing was heard of a node, in seconds."""
-        return now - self._last_sign(node)
+    def seconds_since_heartbeat(self, node: Node, now: float) -> float:
+        """Return the seconds since a node's last heartbeat."""
+        return now - self._last_heartbeat_at(node)
 
-    def _is_lost(self, entry: EntryRecord, now: float) -> bool:
+    def _is_disconnected(self, entry: EntryRecord, now: float) -> bool:
         closed_at = self._closed_at_by_key.get(node_key(entry))
-        return closed_at is not None and now - closed_at > CLOSED_LINK_SECONDS
+        return closed_at is not None and now - closed_at > CLOSED_LINK_TIMEOUT_SECONDS
 
-    def _last_sign(self, node: Node) -> float:
-        return self._heard_at_by_key.get(node_key(node), self._granted_at)
+    def _last_heartbeat_at(self, node: Node) -> float:
+        return self._heartbeat_at_by_key.get(node_key(node), self._timeouts_reset_at)
 
 
 def node_key(node: Node) -> str:
-    """Return a name that no other entry or backend server has."""
+    """Return a key that is unique among entries, backend servers and stores."""
     match node:
         case EntryRecord():
             return f"entry/{node.entry_id}"
--- a/libs/control/tarragonhall_control/_order_plan.py
+++ b/libs/control/tarragonhall_control/_order_plan.py
@@ -1,8 +1,8 @@
-"""Which order each engine gets next, from what it says it has loaded. No I/O.
+"""Plans the next order for each engine from the models that it reports as loaded. No I/O.
 
-The plan compares what should be with what is, each time anew: an order that was lost, that came
-twice, or that took effect late shows as a difference and leads to the next order. A new leader
-needs nothing of its predecessor's memory.
+Each step compares the desired state with the reported one: an order that was lost, repeated or took
+effect late shows as a difference and leads to the next order. A new leader therefore needs no state
+of its predecessor.
 """
 
 from __future__ import annotations
@@ -22,8 +22,8 @@
 
 LOAD_MODEL = "load_model"
 UNLOAD = "unload"
-# A load that was not told again for longer than an entry's timeout is no demand any more.
-LOAD_SECONDS = 4.0
+# Loads older than an entry's timeout no longer count as demand.
+MAX_LOAD_AGE_SECONDS = 4.0
 
 
 @dataclass(slots=True, frozen=True)
@@ -38,21 +38,21 @@
 
 @dataclass(slots=True, frozen=True)
 class Engines:
-    """The model servers that take orders, and which of them have one or wait after a failure.
+    """The model servers that accept orders, those with an order in flight and those backing off.
 
     `in_flight` maps the id of a server with an order to the model of that order.
     """
 
     by_id: dict[str, ServerRecord]
     in_flight: dict[str, str] = field(default_factory=dict)
-    resting: frozenset[str] = frozenset()
+    backing_off: frozenset[str] = frozenset()
 
-    def free(self, server_id: str) -> bool:
-        """Return whether an engine may get an order."""
-        return server_id not in self.in_flight and server_id not in self.resting
+    def is_free(self, server_id: str) -> bool:
+        """Return whether an engine can get an order."""
+        return server_id not in self.in_flight and server_id not in self.backing_off
 
-    def ready(self, model: str) -> list[ServerRecord]:
-        """Return the engines that can run calls of a model now."""
+    def ready_for(self, model: str) -> list[ServerRecord]:
+        """Return the engines that can run calls of a model."""
         return [
             server
             for server in self.by_id.values()
@@ -63,33 +63,33 @@
 
 
 @dataclass(slots=True, frozen=True)
-class ToldLoad:
-    """The load of a node, and when it was told."""
+class ReportedLoad:
+    """The load of a node and the time of its report."""
 
     load: NodeLoad
-    told_at: float
+    reported_at: float
 
 
 @dataclass(slots=True)
 class OrderPlan:
-    """The orders of one leadership."""
+    """The plan of orders during one term of leadership."""
 
-    held: set[str] = field(default_factory=set)
-    _told_by_key: dict[str, ToldLoad] = field(default_factory=dict)
+    held_models: set[str] = field(default_factory=set)
+    _reported_by_key: dict[str, ReportedLoad] = field(default_factory=dict)
     _planner: ModelOrders = field(default_factory=ModelOrders)
     _switch_by_server: dict[str, LoadOrder] = field(default_factory=dict)
 
-    def note(self, node: Node, load: NodeLoad, now: float) -> None:
-        """Take in what a heartbeat says."""
-        self._told_by_key[node_key(node)] = ToldLoad(load, now)
+    def record_load(self, node: Node, load: NodeLoad, now: float) -> None:
+        """Record the load that a heartbeat reports."""
+        self._reported_by_key[node_key(node)] = ReportedLoad(load, now)
 
     def next_steps(self, models: list[ModelPolicy], engines: Engines, now: float) -> list[Step]:
-        """Return the orders to give now, at most one for each engine."""
-        self._forget_old_loads(now)
+        """Return the orders to send now, at most one for each engine."""
+        self._drop_stale_loads(now)
         policy_by_model = {model.name: model for model in models}
         self._end_switches(policy_by_model, engines, now)
         steps = self._switch_steps(policy_by_model, engines)
-        self.held.clear()
+        self.held_models.clear()
         for model in models:
             steps.extend(self._version_steps(model, engines))
         if not steps and not engines.in_flight:
@@ -97,10 +97,10 @@
             steps = self._switch_steps(policy_by_model, engines)
         return steps[: max(0, LOADS_AT_ONCE - len(engines.in_flight))]
 
-    # One version after another, server by server.
+    # Version changes, one server at a time.
 
     def _version_steps(self, model: ModelPolicy, engines: Engines) -> list[Step]:
-        """Return at most one load of the version in force; note a model that can spare no one."""
+        """Return at most one load of the version in force; hold it if no replica can be spared."""
         outdated = [
             server
             for server in engines.by_id.values()
@@ -108,20 +108,20 @@
             and server.loaded.get(model.name) != model.version
             and server.server_id not in self._switch_by_server
         ]
-        free = [server for server in outdated if engines.free(server.server_id)]
-        ready = engines.ready(model.name)
-        for server in free:
+        free_servers = [server for server in outdated if engines.is_free(server.server_id)]
+        ready = engines.ready_for(model.name)
+        for server in free_servers:
             if server not in ready:
-                # It runs no calls of the model, so its load makes no one wait.
+                # It runs no calls of the model, so the load delays no calls.
                 return [Step(server, LOAD_MODEL, model.name, model.version)]
-        if not free or model.name in engines.in_flight.values():
+        if not free_servers or model.name in engines.in_flight.values():
             return []
         if len(ready) <= model.min_replicas:
-            self.held.add(model.name)
+            self.held_models.add(model.name)
             return []
-        return [Step(free[0], LOAD_MODEL, model.name, model.version)]
+        return [Step(free_servers[0], LOAD_MODEL, model.name, model.version)]
 
-    # Engines that go from one model to another.
+    # Switches of engines from one model to another.
 
     def _plan_switches(
         self, policy_by_model: dict[str, ModelPolicy], engines: Engines, now: float
@@ -132,7 +132,9 @@
         ]
         demands = [self._demand(model) for model in policy_by_model.values()]
         for order in self._planner.plan(demands, states, now):
-            if self._leaves_too_few(engines.by_id[order.server_id], policy_by_model, engines):
+            if self._violates_min_replicas(
+                engines.by_id[order.server_id], policy_by_model, engines
+            ):
                 self._planner.on_done(order.server_id, now)
                 continue
             self._switch_by_server[order.server_id] = order
@@ -142,32 +144,32 @@
     ) -> EngineState:
         switch = self._switch_by_server.get(server.server_id)
         model = switch.model if switch is not None else next(iter(server.serves), None)
-        told = self._told_by_key.get(node_key(server))
-        # An engine of several models, or of one that no operator manages, is not taken away.
+        reported = self._reported_by_key.get(node_key(server))
+        # An engine with several models, or with one that has no policy, is not switched.
         fixed = len(server.serves) > 1 or any(one not in policy_by_model for one in server.serves)
-        busy_share = told.load.busy_share if told is not None else 1.0
+        busy_share = reported.load.busy_share if reported is not None else 1.0
         return EngineState(
             server.server_id,
             model,
             server.loaded.get(model or ""),
             busy_share,
-            draining=fixed or not engines.free(server.server_id),
+            draining=fixed or not engines.is_free(server.server_id),
         )
 
     def _demand(self, model: ModelPolicy) -> ModelDemand:
         waits = [
-            told.load.waiting_s_by_target.get(model.name, 0.0)
-            for told in self._told_by_key.values()
+            reported.load.waiting_s_by_target.get(model.name, 0.0)
+            for reported in self._reported_by_key.values()
         ]
-        # One replica more lets the others change their version without calls that wait.
-        wanted = model.min_replicas + (model.name in self.held)
+        # One more replica lets the others change their version without delaying calls.
+        wanted = model.min_replicas + (model.name in self.held_models)
         return ModelDemand(model.name, model.version, wanted, max(waits, default=0.0))
 
-    def _leaves_too_few(
+    def _violates_min_replicas(
         self, server: ServerRecord, policy_by_model: dict[str, ModelPolicy], engines: Engines
     ) -> bool:
         for name in server.serves:
-            ready = engines.ready(name)
+            ready = engines.ready_for(name)
             if server in ready and len(ready) <= policy_by_model[name].min_replicas:
                 return True
         return False
@@ -177,12 +179,12 @@
     ) -> list[Step]:
         steps = []
         for server_id, switch in self._switch_by_server.items():
-            if not engines.free(server_id):
+            if not engines.is_free(server_id):
                 continue
             server = engines.by_id[server_id]
             others = [name for name in server.serves if name != switch.model]
             if others:
-                # Unloaded first: two models may not fit into one engine's memory.
+                # Unload first: two models may not fit into one engine's memory.
                 version = server.loaded.get(others[0], "")
                 steps.append(Step(server, UNLOAD, others[0], version))
                 continue
@@ -201,14 +203,14 @@
             del self._switch_by_server[server_id]
             self._planner.on_done(server_id, now)
 
-    def _forget_old_loads(self, now: float) -> None:
-        for key, told in list(self._told_by_key.items()):
-            if now - told.told_at > LOAD_SECONDS:
-                del self._told_by_key[key]
+    def _drop_stale_loads(self, now: float) -> None:
+        for key, reported in list(self._reported_by_key.items()):
+            if now - reported.reported_at > MAX_LOAD_AGE_SECONDS:
+                del self._reported_by_key[key]
 
 
 def model_servers(servers: list[ServerRecord]) -> dict[str, ServerRecord]:
-    """Return the servers that take orders, by id: model engines that stay."""
+    """Return the servers that accept orders, by id: model engines that are not draining."""
     return {
         server.server_id: server
         for server in sorted(servers, key=lambda one: one.server_id)
--- a/libs/control/tarragonhall_control/_ended.py
+++ b/libs/control/tarragonhall_control/_program_stop.py
@@ -1,4 +1,4 @@
-"""Stops what still runs for programs that were cancelled or have expired."""
+"""Stops running attempts of programs that were cancelled or have expired."""
 
 from __future__ import annotations
 
@@ -16,12 +16,15 @@
 from tarragonhall_control._followers import Followers
 
 
-def stop_ended(state: ControlState, followers: Followers, body: object, result: object) -> None:
-    """Tell the sidecars of the programs that a command just ended, sub-agents included.
+def stop_ended_programs(
+    state: ControlState, followers: Followers, body: object, result: object
+) -> None:
+    """Notify the sidecars that run attempts of the programs a command just ended.
 
-    Only the leader knows all programs under a root, and it alone hears of an expiry. Without this
-    the running calls of sub-agents kept their slots to their end, for nobody. A message that is
-    lost costs time only: the run ends by its deadline, and a sidecar asks which programs live.
+    This includes sub-agents. Only the leader knows all programs under a root, and only it learns of
+    an expiry. Without the notification, calls of sub-agents would hold their slots until they end,
+    with no one left to use the result. A lost message only costs time: the attempt ends at its
+    deadline, and sidecars query which programs are still open.
     """
     match body, result:
         case (EndProgram() | CancelProgram(), ProgramInfo(status=status)):
@@ -37,7 +40,7 @@
         for attempt in state.attempts_under(program_id):
             server = state.server(attempt.server_id)
             if server is None or server.incarnation != attempt.incarnation:
-                # The life that ran it is over, and its runs and its memory with it.
+                # The incarnation that ran the attempt is gone, and the attempt with it.
                 continue
             target = (server.address, attempt.program_id)
             attempts_by_target.setdefault(target, set()).add(attempt)
--- a/libs/control/tarragonhall_control/_request.py
+++ b/libs/control/tarragonhall_control/_request.py
@@ -1,4 +1,4 @@
-"""One request to the admin API at the leader: who asks, what for, and how it may end."""
+"""Requests to the admin API as the leader handles them, their replies and errors."""
 
 from __future__ import annotations
 
@@ -26,32 +26,32 @@
     """A request that ends with an error response."""
 
     def __init__(
-        self, status: int, error: str, message: str, findings: list[Finding] = (), **more: object
+        self, status: int, error: str, message: str, findings: list[Finding] = (), **extra: object
     ) -> None:
         super().__init__(message)
         self.status = status
         self.error = error
         self.findings = findings
-        self.more = more
+        self.extra = extra
 
 
 @dataclass(slots=True)
 class AdminRequest:
-    """A request whose token was checked. `parts` are the groups matched in the path."""
+    """An authenticated request. `path_params` are the named groups of the path pattern."""
 
     operator: Operator
     request_id: str
     query: str
     body: dict
-    parts: dict[str, str] = field(default_factory=dict)
+    path_params: dict[str, str] = field(default_factory=dict)
 
     def require(self, role: OperatorRole, path: str) -> None:
-        """Refuse the request unless the operator may act in the role at the path."""
+        """Raise an error unless the operator has the role at the path."""
         findings = check_path(path, "/path")
         if findings:
             raise InputError(findings)
         if not self.operator.may(role, path):
-            message = f"{self.operator.name} is no {role.value} at {path}"
+            message = f"{self.operator.name} is not {role.value} at {path}"
             raise AdminError(403, "forbidden", message)
 
 
@@ -63,8 +63,8 @@
     status: int = 200
 
 
-def checked(result: object) -> object:
-    """Return a result of the state machine, or raise what its refusal means over HTTP."""
+def unwrap_result(result: object) -> object:
+    """Return a result of the state machine; raise the `AdminError` of a refusal."""
     match result:
         case ChangeRefused():
             findings = [Finding(one.place, one.message) for one in result.findings]
@@ -83,7 +83,7 @@
 
 
 def as_json(record: object) -> dict:
-    """Return the fields of a record, nested records included, without the codec's type names."""
+    """Return a record's fields, nested records included, without the codec's type names."""
     return _untyped(to_plain(record))
 
 
--- a/libs/control/tarragonhall_control/_role.py
+++ b/libs/control/tarragonhall_control/_role.py
@@ -1,4 +1,4 @@
-"""The control role as the daemon drives it."""
+"""The control role, as started and stopped by the daemon."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from tarragonhall_wire import ProcessContext
 
 from tarragonhall_control._admin import AdminApi
-from tarragonhall_control._backend_desk import BackendDesk
+from tarragonhall_control._backend_service import BackendService
 from tarragonhall_control._first_operator import propose_first_operator
+from tarragonhall_control._link_service import LinkService
 from tarragonhall_control._member import ControlMember
-from tarragonhall_control._relay_desk import RelayDesk
-from tarragonhall_control._service import LinkService
+from tarragonhall_control._relay_service import RelayService
 from tarragonhall_control._settings import ControlSettings
 
 DRAIN_POLL_SECONDS = 0.02
@@ -29,8 +29,8 @@
         self.member = ControlMember(settings, context, limits)
         self._admin = AdminApi(self.member, settings.admin)
         self._admin_stopped = False
-        self.backends = BackendDesk(self.member)
-        self.relay = RelayDesk(self.member, settings.losses_borne)
+        self.backends = BackendService(self.member)
+        self.relay = RelayService(self.member, settings.losses_borne)
         self._joiner = Joiner(
             self.member.group,
             context,
@@ -46,11 +46,11 @@
         eventlet.spawn_n(propose_first_operator, self.member, settings)
 
     def ready(self) -> bool:
-        """Return whether a leader is known that can be reached."""
+        """Return whether this member leads or knows the leader's address."""
         return self.member.is_leader() or self.member.leader_address() is not None
 
     def drain(self, timeout_s: float) -> bool:
-        """Answer the operators' requests at hand and wait for every proposal to end."""
+        """Finish admin requests and proposals in flight; return whether all ended in time."""
         deadline = self.member.context.monotonic() + timeout_s
         self._admin_stopped = True
         ended = self._admin.stop(timeout_s)
@@ -59,7 +59,7 @@
         return ended and not self.member.loop.waiting()
 
     def stop(self) -> None:
-        """Release the data folder and the admin address."""
+        """Stop all services; release the data folder and the admin address."""
         self.backends.stop()
         self._joiner.stop()
         self.member.stop()
--- a/libs/control/tarragonhall_control/_settings.py
+++ b/libs/control/tarragonhall_control/_settings.py
@@ -12,15 +12,15 @@
 
 @dataclass(slots=True, frozen=True)
 class ControlSettings:
-    """`members` maps each founding member's instance name to its link address.
-
-    `member_id` is set where members are known by another name than their instance's, and `members`
-    is empty for one that waits to be added. `heal` has the leader replace and add members by
-    itself, for platforms that replace machines; `losses_borne` is how many members, of control and
-    of the stores each, may then be lost at once, and `zone_losses_borne` how many whole zones. An
-    entry that was not heard for `ownership_ms` owns no rates any more, and what it granted has run
-    out. `region_by_zone` names the deployment's availability zones; where it is empty, they are
-    those of the processes in the view.
+    """`members` maps each initial member's instance name to its link address.
+
+    `members` is empty for a member that waits to be added. `member_id` is set where members use
+    another name than their instance's. With `heal` the leader replaces and adds members by itself,
+    for platforms that replace machines; `losses_borne` is how many members, of control and of the
+    stores each, may be lost at once, and `zone_losses_borne` how many whole zones. An entry without
+    a heartbeat for `ownership_ms` no longer owns rates, and the tokens it granted have expired.
+    `region_by_zone` lists the deployment's availability zones; if empty, they are those of the
+    processes in the view.
     """
 
     data_folder: str
@@ -42,17 +42,17 @@
         "data_folder": Text(),
         "admin": Address(),
         "members": MapOf(Address()),
-        # A backend server that leaves without a word must get no new work after a few seconds.
-        # Heartbeats come up to a second apart: below the minimum, healthy nodes would leave the
-        # view and come back between any two of them, and running work would be taken for lost.
+        # A backend server that crashes must get no new work after a few seconds. Heartbeats are up
+        # to a second apart: below the minimum, healthy nodes would leave and rejoin the view
+        # between heartbeats, and running work would be treated as lost.
         "server_timeout_ms": Whole(3_000, minimum=1_500),
         "entry_timeout_ms": Whole(4_000, minimum=1_500),
         "member_id": Text(default=""),
         "heal": Flag(default=False),
         "losses_borne": Whole(1, minimum=0),
         "zone_losses_borne": Whole(0, minimum=0),
-        # After this long without a confirmed heartbeat an entry owns no rates, and what it granted
-        # has run out. It must not be below that of the entries.
+        # After this long without a confirmed heartbeat an entry owns no rates, and the tokens it
+        # granted have expired. Must not be below the entries' own value.
         "ownership_ms": Whole(OWNERSHIP_MS, minimum=OWNERSHIP_MS),
         "region_by_zone": MapOf(Text(), default={}),
     },
--- a/libs/control/tests/confirmation_tests.py
+++ b/libs/control/tests/confirmation_tests.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import eventlet
-from tarragonhall_control._confirmation import GATHER_SECONDS, SharedConfirmation
+from tarragonhall_control._confirmation import BATCH_SECONDS, SharedConfirmation
 
 
 def test_heartbeats_of_a_moment_share_one_round():
@@ -25,7 +25,7 @@
 
     shared = SharedConfirmation(confirm)
     first = eventlet.spawn(shared.join)
-    eventlet.sleep(GATHER_SECONDS + 0.02)
+    eventlet.sleep(BATCH_SECONDS + 0.02)
     second = eventlet.spawn(shared.join)
     assert (first.wait(), second.wait()) == (True, False)
 
--- a/libs/control/tests/followers_tests.py
+++ b/libs/control/tests/followers_tests.py
@@ -49,7 +49,7 @@
 def pushed_to(*nodes) -> PolicyDelta:
     followers, link = Followers(State(), Metrics()), RecordingLink()
     for node in nodes:
-        followers.note(link, node, 4, 1)
+        followers.record_sent(link, node, 4, 1)
     followers.push()
     return link.sent[0].policy
 
@@ -82,8 +82,8 @@
 
     state = Growing()
     followers, link, late = Followers(state, Metrics()), RecordingLink(), RecordingLink()
-    followers.note(link, ENTRY, 5, 1)
-    followers.note(late, ENTRY, 5, 0)
+    followers.record_sent(link, ENTRY, 5, 1)
+    followers.record_sent(late, ENTRY, 5, 0)
     followers.push()
     assert late.sent[0].view == View(1, [], [])
     state.epoch = 2
--- a/libs/control/tests/order_plan_tests.py
+++ b/libs/control/tests/order_plan_tests.py
@@ -53,7 +53,7 @@
     by_id = model_servers([engine("a", "m", "1")])
     plan, models = OrderPlan(), [ModelPolicy("m", "2", 1)]
     assert not plan.next_steps(models, Engines(by_id), 0.0)
-    assert plan.held == {"m"}
+    assert plan.held_models == {"m"}
     by_id["b"] = replace(engine("b", "m", "1"), loaded={})
     (step,) = plan.next_steps(models, Engines(by_id), 1.0)
     assert (step.server.server_id, step.version) == ("b", "2")
@@ -81,9 +81,11 @@
     by_id = model_servers([engine("a", "m", "1"), engine("b", "m", "1"), engine("c", "n", "1")])
     plan, models, orders = OrderPlan(), [ModelPolicy("m", "1"), ModelPolicy("n", "1")], []
     for second in range(20):
-        plan.note(ENTRY, NodeLoad({"n": 30.0}), float(second))
+        plan.record_load(ENTRY, NodeLoad({"n": 30.0}), float(second))
         for name, server in by_id.items():
-            plan.note(server, NodeLoad(busy_share=1.0 if name == "c" else 0.0), float(second))
+            plan.record_load(
+                server, NodeLoad(busy_share=1.0 if name == "c" else 0.0), float(second)
+            )
         for step in plan.next_steps(models, Engines(by_id), float(second)):
             orders.append((step.server.server_id, step.action, step.model))
             by_id[step.server.server_id] = carry_out(step.server, step)
--- a/libs/control/tests/orders_tests.py
+++ b/libs/control/tests/orders_tests.py
@@ -95,7 +95,7 @@
 def quick_answers(monkeypatch):
     """Let lost answers and failed orders be noticed soon enough for a test."""
     monkeypatch.setattr(_backend, "ORDER_SECONDS", 0.4)
-    monkeypatch.setattr(_order_sender, "REST_SECONDS", 0.2)
+    monkeypatch.setattr(_order_sender, "FAILURE_BACKOFF_SECONDS", 0.2)
 
 
 def set_version(group, version: str, minimum: int = 0, name: str | None = None) -> int:
@@ -208,7 +208,7 @@
     """Loading takes longer than the leader waits for the answer. Each resend as a new order would
     load the weights once more.
     """
-    monkeypatch.setattr(_order_sender, "ANSWER_SECONDS", 0.2)
+    monkeypatch.setattr(_order_sender, "RESPONSE_TIMEOUT_SECONDS", 0.2)
     monkeypatch.setattr(_backend, "ORDER_SECONDS", 3.0)
     arrived = []
     carry_out = Sidecars.on_order
