--- a/libs/control/tarragonhall_control/_admin_settings.py
+++ b/libs/control/tarragonhall_control/_admin_settings.py
@@ -77,7 +77,7 @@
         return self._change(request, change, body["dry_run"])
 
     def explain(self, request: AdminRequest) -> AdminReply:
-        """GET /settings/explain: each level that sets a name or its default, the nearest first."""
+        """GET /settings/explain: the levels that set a name, nearest first, then the default."""
         values = bodies.load_query(request.query, ("path", "name"))
         path = self._path(request)
         name = values.get("name", "")
