--- a/libs/decisions/tarragonhall_decisions/_routing.py
+++ b/libs/decisions/tarragonhall_decisions/_routing.py
@@ -1,15 +1,15 @@
-"""Routing: which backend server runs a call.
-
-Load patterns and what happens without an answer to them:
-- A hot program or a hot prefix: always the server that holds it builds a queue there; never that
-  server recomputes the whole history. The cost of recomputing is weighed against the wait.
-- Many entries with the same lagging reports all choose the same idle server at once. Two random
-  choices, judged by own open calls and the report, spread them.
-- A slow server: see `_server_state`; its share shrinks gradually and it goes on being probed.
+"""Chooses the backend server that runs a call.
+
+Load patterns and the design rule that answers each:
+- A hot program or prefix: sent only to the server that holds it, calls queue there; sent elsewhere,
+  each recomputes the whole history. The cost of recomputing is weighed against the wait.
+- Many entries with the same lagging reports would all choose the same idle server at once. Two
+  random choices, judged by open calls and the report, spread them.
+- A slow server: see `_server_state`; its share shrinks gradually, and it is still probed.
 - Availability zones: a server in the entry's own zone wins among equals.
-- Programs under way have `NEW_PROGRAM_SHARE` of each window to themselves against new programs.
+- Running programs keep the rest of each window beyond `NEW_PROGRAM_SHARE` free of new ones.
 
-The weights compare expected seconds until the answer: wait + recomputing + run time + way.
+The weights compare expected seconds until the answer: wait + recomputing + run time + round trip.
 """
 
 from __future__ import annotations
@@ -23,19 +23,22 @@
 
 from tarragonhall_decisions._server_state import ServerState
 
-# Seconds that a server is taken to read a token of a prompt.
+# Assumed seconds that a server takes to read a prompt token, the same for all servers.
 PREFILL_S_PER_TOKEN = 1e-4
-# Seconds for the way to another availability zone and back.
-ZONE_WAY_S = 0.002
+# Seconds of a round trip to another availability zone: half a millisecond each way, doubled, since
+# both the dispatch and the answer cross.
+ZONE_ROUND_TRIP_S = 0.002
 # Share of a server's window that new programs may fill.
 NEW_PROGRAM_SHARE = 0.9
-# Windows that a program may queue behind the server that holds its prefix.
-AFFINITY_OVERDRAFT = 2.0
-# Seconds between two changes of a window.
-ADAPT_EVERY_S = 0.25
-# Bound on the programs whose server is remembered.
-REMEMBERED_PROGRAMS = 20_000
-# Servers to which one entry keeps links.
+# Up to this many windows, a program may queue behind the server that holds its prefix, where that
+# is cheaper than recomputing.
+MAX_AFFINITY_WINDOWS = 2.0
+# Seconds between two updates of the weights.
+ADAPT_INTERVAL_S = 0.25
+# Limit on the programs whose server is remembered.
+MAX_REMEMBERED_PROGRAMS = 20_000
+# Servers to which one entry keeps links. With 360 entries and 3,700 servers, each server is linked
+# from about ten entries, and two random choices among 100 are as good as among all.
 SUBSET_SIZE = 100
 # Servers drawn at random and compared.
 RANDOM_CHOICES = 2
@@ -43,8 +46,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Need:
-    """What a call needs. `prompt_tokens` is its history and prompt, `units` the work expected of it
-    (generated tokens; 1 for a service). `avoid` names servers that must not get it.
+    """What a call needs.
+
+    `prompt_tokens` counts its history and prompt, `units` the work expected of it (generated
+    tokens; 1 for a service). `avoid` names servers that must not get it.
     """
 
     target: str
@@ -58,7 +63,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RouteChoice:
-    """The server chosen, how long the call should take there, and whether it has the prefix."""
+    """The chosen server, the seconds the call should take there, and whether it has the prefix."""
 
     server: ServerRecord
     expected_s: float
@@ -66,7 +71,7 @@
 
 
 class Router:
-    """The servers that one entry may send work to."""
+    """The servers that one entry may send calls to."""
 
     def __init__(self, availability_zone: str, rng: random.Random) -> None:
         self._zone = availability_zone
@@ -75,32 +80,34 @@
         self._ids_by_target: dict[str, list[str]] = {}
         self._server_by_program: OrderedDict[str, str] = OrderedDict()
         self._adapted_at: dict[str, float] = {}
-        self._usual_unit_s: dict[str, float] = {}
+        self._median_unit_s: dict[str, float] = {}
 
     def on_view(self, servers: list[ServerRecord]) -> None:
-        """Take over the servers of a view (or of this entry's subset of it)."""
-        kept: dict[str, ServerState] = {}
+        """Replace the servers by those of a view (or of this entry's subset of it)."""
+        state_by_id: dict[str, ServerState] = {}
         for record in servers:
-            old = self._state_by_id.get(record.server_id)
-            if old is None or old.record.incarnation != record.incarnation:
-                kept[record.server_id] = ServerState(record, window=float(max(1, record.slots)))
+            previous = self._state_by_id.get(record.server_id)
+            if previous is None or previous.record.incarnation != record.incarnation:
+                state_by_id[record.server_id] = ServerState(
+                    record, window=float(max(1, record.slots))
+                )
                 continue
-            old.record = record
-            kept[record.server_id] = old
-        self._state_by_id = kept
+            previous.record = record
+            state_by_id[record.server_id] = previous
+        self._state_by_id = state_by_id
         self._ids_by_target = {}
         for record in servers:
             for target in record.serves:
                 self._ids_by_target.setdefault(target, []).append(record.server_id)
 
     def on_load_report(self, report: LoadReport) -> None:
-        """Take over a server's report."""
+        """Store a server's load report."""
         state = self._state_by_id.get(report.server_id)
         if state is not None:
             state.on_report(report)
 
     def on_link(self, server_id: str, up: bool) -> None:
-        """Note that the link to a server's sidecar came up or went down."""
+        """Record that the link to a server's sidecar came up or went down."""
         state = self._state_by_id.get(server_id)
         if state is not None:
             state.linked = up
@@ -114,7 +121,7 @@
         return any(state.usable() and state.has_room() for state in self._states(target))
 
     def choose(self, need: Need, now: float) -> RouteChoice | None:
-        """Choose a server, or none while the call should rather wait in the queue."""
+        """Choose a server; None while the call should wait in the queue."""
         self._adapt(need.target, now)
         usable = [
             state
@@ -126,43 +133,43 @@
         open_states = [state for state in usable if state.has_room(share)]
         candidates = self._sample(open_states)
         for state in holders:
-            if state not in candidates and state.has_room(AFFINITY_OVERDRAFT):
+            if state not in candidates and state.has_room(MAX_AFFINITY_WINDOWS):
                 candidates.append(state)
         if not candidates:
             return None
         best = min(candidates, key=lambda state: self._cost(state, need))
         if not holders and candidates[0].weight < 1.0:
-            # A server on probation always looks dearer than the other choice; without these few
-            # calls nothing would be learnt of it any more, and its capacity would be lost.
+            # A slow server always costs more than the other choice; without these few calls its
+            # recovery would go unnoticed and its capacity would be lost.
             best = candidates[0]
         return RouteChoice(best.record, self._cost(best, need), best in holders)
 
     def on_start(self, server_id: str, attempt_key: str, need: Need, now: float) -> None:
-        """Note that an attempt was dispatched."""
+        """Record that an attempt was dispatched."""
         state = self._state_by_id.get(server_id)
         if state is not None:
             state.on_start(attempt_key, need.units, now)
         self._server_by_program[need.program_id] = server_id
         self._server_by_program.move_to_end(need.program_id)
-        if len(self._server_by_program) > REMEMBERED_PROGRAMS:
+        if len(self._server_by_program) > MAX_REMEMBERED_PROGRAMS:
             self._server_by_program.popitem(last=False)
 
     def on_end(
         self, server_id: str, attempt_key: str, units: float, answered: bool, now: float
     ) -> None:
-        """Note that an attempt ended; `units` is the work that it was."""
+        """Record that an attempt ended; `units` is its actual work."""
         state = self._state_by_id.get(server_id)
         if state is not None:
             state.on_end(attempt_key, units, answered, now)
 
     def on_unused(self, server_id: str, attempt_key: str) -> None:
-        """Note that an attempt was not sent after all; nothing is learnt of the server."""
+        """Record that an attempt was not sent after all; the server's speed stays unchanged."""
         state = self._state_by_id.get(server_id)
         if state is not None and state.open_by_key.pop(attempt_key, None) is not None:
             state.changes_since_report -= 1
 
     def forget_program(self, program_id: str) -> str | None:
-        """Forget where a program that ended ran; return the server where it ran last."""
+        """Forget the server of a program that ended, and return it."""
         return self._server_by_program.pop(program_id, None)
 
     def _states(self, target: str) -> list[ServerState]:
@@ -170,15 +177,15 @@
 
     def _holds(self, state: ServerState, need: Need) -> bool:
         server_id = state.record.server_id
-        if need.program_id in state.held:
+        if need.program_id in state.held_programs:
             return True
         known = self._server_by_program.get(need.program_id, need.prefix_server)
         return need.prompt_tokens > 0 and known == server_id
 
     def _sample(self, states: list[ServerState]) -> list[ServerState]:
         """Return two different states at random by weight, from the own zone where it has two."""
-        near = [state for state in states if state.record.availability_zone == self._zone]
-        pool = list(near if len(near) >= RANDOM_CHOICES else states)
+        local = [state for state in states if state.record.availability_zone == self._zone]
+        pool = list(local if len(local) >= RANDOM_CHOICES else states)
         chosen: list[ServerState] = []
         while pool and len(chosen) < RANDOM_CHOICES:
             weights = [state.weight for state in pool]
@@ -187,37 +194,37 @@
         return chosen
 
     def _cost(self, state: ServerState, need: Need) -> float:
-        unit_s = state.unit_s or self._usual_unit_s.get(need.target, 0.0)
+        unit_s = state.unit_s or self._median_unit_s.get(need.target, 0.0)
         run_s = unit_s * need.units
         recompute_s = 0.0 if self._holds(state, need) else need.prompt_tokens * PREFILL_S_PER_TOKEN
-        way_s = 0.0 if state.record.availability_zone == self._zone else ZONE_WAY_S
-        return state.wait_s(run_s) + recompute_s + run_s + way_s
+        round_trip_s = 0.0 if state.record.availability_zone == self._zone else ZONE_ROUND_TRIP_S
+        return state.wait_s(run_s) + recompute_s + run_s + round_trip_s
 
     def _adapt(self, target: str, now: float) -> None:
-        if now - self._adapted_at.get(target, float("-inf")) < ADAPT_EVERY_S:
+        if now - self._adapted_at.get(target, float("-inf")) < ADAPT_INTERVAL_S:
             return
         self._adapted_at[target] = now
         states = self._states(target)
         known = [state.unit_s for state in states if state.unit_s is not None]
         if not known:
             return
-        usual = statistics.median(known)
-        self._usual_unit_s[target] = usual
+        median_s = statistics.median(known)
+        self._median_unit_s[target] = median_s
         for state in states:
-            state.adapt_weight(usual, now)
+            state.adapt_weight(median_s, now)
 
 
 def subset(entry_id: str, entry_ids: list[str], servers: list[ServerRecord]) -> list[ServerRecord]:
     """Return the servers that an entry links to: all while they are few, else an even share.
 
     The servers are shuffled, the same way everywhere, once for each round of entries, and each
-    entry of a round takes its slice. A random subset for each entry would leave some servers with
-    few entries and others with many.
+    entry of a round takes its slice. Random subsets would leave some servers with few entries and
+    others with many.
     """
     if len(servers) <= SUBSET_SIZE or entry_id not in entry_ids:
         return list(servers)
     slices = len(servers) // SUBSET_SIZE
     index = sorted(entry_ids).index(entry_id)
-    turn, place = divmod(index, slices)
-    order = sorted(servers, key=lambda server: fingerprint(str(turn), server.server_id))
-    return order[place::slices]
+    round_index, offset = divmod(index, slices)
+    order = sorted(servers, key=lambda server: fingerprint(str(round_index), server.server_id))
+    return order[offset::slices]
--- a/libs/decisions/tests/load_tests.py
+++ b/libs/decisions/tests/load_tests.py
@@ -1,4 +1,4 @@
-"""Queue and routing together under load, judged by what callers receive, against baselines."""
+"""Queue and routing together under load, judged by the callers' results, against baselines."""
 
 from __future__ import annotations
 
@@ -38,13 +38,13 @@
     refused_at: list[float] = field(default_factory=list)
 
     def latency(self) -> float:
-        """Return the time from the intended start to the last answer; endless if it was refused."""
+        """Return the time from the intended start to the last answer; infinite if refused."""
         return float("inf") if self.finished_at is None else self.finished_at - self.arrives
 
 
 @dataclass(slots=True)
 class Server:
-    """A backend server: runs `slots` calls at once and keeps the prefixes of some programs."""
+    """A backend server: runs `slots` calls at once and caches the prefixes of some programs."""
 
     record: ServerRecord
     slow: float = 1.0
@@ -54,7 +54,7 @@
 
 
 class Fifo:
-    """Baseline: one queue for everybody, and a simple way to choose the server."""
+    """Baseline: one queue for all callers, and a simple choice of the server."""
 
     def __init__(self, world: World, choose: str) -> None:
         self.world, self.choose = world, choose
@@ -63,12 +63,12 @@
         self.turn = itertools.count()
 
     def submit(self, program: Program) -> None:
-        """Take a call."""
+        """Queue a call."""
         self.queue.append(program)
         self.pump()
 
     def pump(self) -> None:
-        """Send what the servers take."""
+        """Send as many calls as the servers can run."""
         world = self.world
         while self.queue and world.open_calls() < world.slots():
             if self.choose == "round robin":
@@ -78,11 +78,11 @@
             world.send(self.queue.popleft(), server)
 
     def on_report(self, report: LoadReport) -> None:
-        """Note a lagging report."""
+        """Store a lagging report."""
         self.reports[report.server_id] = report.running + report.waiting
 
     def on_end(self, program: Program, server: Server, units: float) -> None:
-        """Go on after a call."""
+        """Send waiting calls after one has ended."""
         self.pump()
 
 
@@ -100,7 +100,7 @@
         self.times = RunTimes()
 
     def submit(self, program: Program) -> None:
-        """Take a call."""
+        """Queue a call."""
         now = self.world.now
         call = QueuedCall(
             program.name,
@@ -117,7 +117,7 @@
         self.pump()
 
     def pump(self) -> None:
-        """Send what the servers take."""
+        """Send as many calls as the servers can run."""
         now = self.world.now
         for dropped in self.queue.expire(now):
             self.world.refuse(dropped.call.call_id)
@@ -135,12 +135,12 @@
             self.world.send(program, server)
 
     def on_report(self, report: LoadReport) -> None:
-        """Note a lagging report."""
+        """Store a lagging report."""
         self.router.on_load_report(report)
         self.pump()
 
     def on_end(self, program: Program, server: Server, units: float) -> None:
-        """Go on after a call."""
+        """Record the end of a call and send waiting ones."""
         call = self.open.pop(program.name)
         self.queue.on_end(call, units)
         self.times.on_end(TARGET, self.world.now - call.taken, int(units))
@@ -149,7 +149,7 @@
 
 
 class World:
-    """Servers, programs and time."""
+    """Simulated servers, programs and time."""
 
     def __init__(self, servers: int, slots: int, programs: list[Program]) -> None:
         self.now = 0.0
@@ -166,7 +166,7 @@
         self._order = itertools.count()
 
     def run(self, policy_of: Callable[[World], Fair | Fifo], until: float) -> World:
-        """Run every program to its end, or until the time is over."""
+        """Run until all programs have ended or the time is over."""
         policy = policy_of(self)
         self.policy = policy
         for program in self.programs:
@@ -178,11 +178,11 @@
         return self
 
     def at(self, when: float, action: Callable[[], None]) -> None:
-        """Do something at a time."""
+        """Schedule an action."""
         heapq.heappush(self._events, (when, next(self._order), action))
 
     def slots(self) -> int:
-        """Return how many calls run at once."""
+        """Return how many calls can run at once."""
         return sum(server.record.slots for server in self.servers)
 
     def open_calls(self) -> int:
@@ -194,11 +194,11 @@
         return int(program.prompt * (program.done + 1) + sum(program.calls[: program.done]))
 
     def refuse(self, name: str) -> None:
-        """Tell a caller that its call did not run; it gives the program up."""
+        """Notify a caller that its call did not run; it abandons the program."""
         self.by_name[name].refused_at.append(self.now)
 
     def send(self, program: Program, server: Server) -> None:
-        """Put a call on a server."""
+        """Send a call to a server."""
         server.waiting.append(program)
         self._start(server)
 
@@ -263,7 +263,7 @@
 
 
 def fifo(choose: str = "round robin") -> Callable[[World], Fifo]:
-    """Return a maker of the baseline."""
+    """Return a factory for the baseline."""
     return lambda world: Fifo(world, choose)
 
 
@@ -291,7 +291,7 @@
 
 
 def test_hot_caller_does_not_delay_the_others():
-    """One organisation sends many times what the servers can take for ten seconds. Callers of the
+    """One organisation sends many times what the servers can run for ten seconds. Callers of the
     other organisation should hardly notice; in one queue they wait behind all of it.
     """
 
@@ -303,9 +303,9 @@
     assert percentile(baseline.programs, 0.95, "calm") > 8.0
 
 
-def test_tenants_share_by_weight():
-    """Two organisations both want more than the servers give; one has paid for three times the
-    share. What callers of each get in tokens must follow the weights.
+def test_organisations_share_by_weight():
+    """Two organisations both send more than the servers can run; one has three times the weight.
+    The tokens that callers of each get must follow the weights.
     """
     programs = arrivals("large", 40.0, 20.0, short) + arrivals("small", 40.0, 20.0, short)
     world = World(4, 4, programs).run(lambda w: Fair(w, {"large": 3.0, "small": 1.0}), 20.0)
@@ -330,8 +330,8 @@
 
 
 def test_burst_is_served_without_refusals():
-    """Two hundred programs arrive within a second, as when every school orders before the bell.
-    All have time to wait, so none may be refused and all must finish.
+    """Two hundred programs arrive within a second. All have time to wait, so none may be refused
+    and all must finish.
     """
     programs = arrivals("org", 200.0, 1.0, short)
     world = World(4, 4, programs).run(Fair, 60.0)
@@ -354,8 +354,8 @@
 
 
 def test_slow_server_is_probed_back():
-    """A server was slow for a while and has recovered. Were it never tried again, its callers'
-    share of the capacity would be lost for good.
+    """A server was slow for a while and has recovered. If it were never probed, its share of the
+    capacity would be lost for good.
     """
     programs = arrivals("org", 8.0, 60.0, short)
     world = World(4, 4, programs)
@@ -375,8 +375,8 @@
 
 
 def test_prefix_is_reused_under_load():
-    """Programs with long histories return after each tool pause. Sent to any server they wait for
-    their whole history to be recomputed, turn by turn.
+    """Programs with long histories return after each tool pause. Sent to any server, each turn
+    waits while its whole history is recomputed.
     """
 
     def make() -> list[Program]:
@@ -403,8 +403,8 @@
 
 @pytest.mark.parametrize("timeout_s", [1.0, 3.0])
 def test_overload_refuses_at_once_and_serves_the_rest_in_time(timeout_s):
-    """Callers send three times what the servers can do and give up after a few seconds. A refusal
-    must come at once, so that they can go elsewhere, and what is accepted must be answered in time.
+    """Callers send three times what the servers can run and time out after a few seconds. A refusal
+    must come at once, so that they can go elsewhere, and accepted calls must be answered in time.
     """
     programs = arrivals("org", 60.0, 10.0, lambda rng: [50.0], timeout_s=timeout_s)
     world = World(2, 4, programs).run(Fair, 30.0)
--- a/libs/decisions/tests/server_window_tests.py
+++ b/libs/decisions/tests/server_window_tests.py
@@ -1,17 +1,17 @@
-"""What one entry sends a server that refuses, and how soon it finds that there is room again."""
+"""Calls that one entry sends to a server that refuses, and how soon it finds free slots again."""
 
 from __future__ import annotations
 
 from tarragonhall_decisions._server_window import ServerWindow
 
 
-def test_a_server_that_never_refused_takes_all():
+def test_a_server_that_never_refused_has_no_limit():
     assert ServerWindow().has_room(1_000, 0.0)
 
 
 def test_a_full_server_gets_a_call_when_one_has_ended():
-    # The engine refused the fifth call. Sent at once to the next server and back again, calls cost
-    # both sides a refusal each; this entry's four go on, and the next goes when one of them ends.
+    # The engine refused the fifth call. If refused calls went to the next server and back at once,
+    # each would cost both sides a refusal; instead, the next one is sent when one of the four ends.
     window = ServerWindow()
     window.refused(4, 0.0)
     assert not window.has_room(4, 0.001)
@@ -19,14 +19,14 @@
 
 
 def test_a_server_that_has_room_again_is_used_in_full_within_seconds():
-    # The crowd has gone. Kept to what it had, this entry would let places lie idle.
+    # The burst is over. With a fixed window, this entry would leave slots idle.
     window = ServerWindow()
     window.refused(1, 0.0)
     assert window.has_room(11, 2.0)
 
 
-def test_an_entry_without_calls_there_asks_less_often_with_each_refusal():
-    # All places are others'. A call that waits here must not knock every few milliseconds.
+def test_an_entry_without_calls_there_retries_less_often_with_each_refusal():
+    # Other entries use all slots. A waiting call must not try again every few milliseconds.
     window = ServerWindow()
     now = 0.0
     refusals = 0
@@ -39,7 +39,7 @@
 
 
 def test_an_answer_ends_the_pauses():
-    # Places do come free: the next call need not wait out a pause that others' calls caused.
+    # Slots do come free: the next call need not wait out a pause that earlier refusals caused.
     window = ServerWindow()
     for _ in range(4):
         window.refused(0, 0.0)
--- a/libs/decisions/tests/silent_servers_tests.py
+++ b/libs/decisions/tests/silent_servers_tests.py
@@ -1,15 +1,19 @@
-"""Servers and zones that take calls and answer none, as many entries see them."""
+"""Unresponsive servers and zones, which accept calls and do not answer, seen by many entries."""
 
 from __future__ import annotations
 
 import random
 
 from tarragonhall_decisions import BackendChooser, CallNeed, SilentServers
-from tarragonhall_decisions._silent_servers import LOST_S, PRIOR_ANSWER_S, SILENT_MS
+from tarragonhall_decisions._silent_servers import (
+    INITIAL_ANSWER_S,
+    LOST_CALL_VALID_S,
+    UNRESPONSIVE_MS,
+)
 from tarragonhall_model import BackendRecord, LoadElsewhere, ServerSigns
 
 ZONES = ("tx-austin", "tx-waco", "tx-temple")
-LATE_S = 4 * PRIOR_ANSWER_S + 0.1
+LATE_S = 4 * INITIAL_ANSWER_S + 0.1
 
 
 def servers(count: int = 6) -> list[BackendRecord]:
@@ -19,98 +23,98 @@
 
 
 def silent_servers(count: int = 6) -> SilentServers:
-    made = SilentServers()
-    made.set_servers(servers(count))
-    return made
+    tracker = SilentServers()
+    tracker.set_servers(servers(count))
+    return tracker
 
 
-def test_a_call_counts_once_it_is_late_and_for_a_while_after_its_caller_left():
-    """A hung engine takes a stream; its caller leaves after seconds and the next would follow."""
-    made = silent_servers()
-    made.sent(servers()[0], "a", 0.0)
-    assert made.costs(0.5) == {}
-    assert made.costs(LATE_S) == {"i-0": SILENT_MS}
-    made.left("i-0", "a", 2.0)
-    assert made.costs(2.1) == {"i-0": SILENT_MS}
-    assert made.costs(2.1 + LOST_S) == {}
+def test_an_overdue_call_counts_and_for_a_while_after_its_caller_left():
+    """A hung engine accepts a stream; once its caller has left, the next would go there too."""
+    tracker = silent_servers()
+    tracker.sent(servers()[0], "a", 0.0)
+    assert tracker.costs(0.5) == {}
+    assert tracker.costs(LATE_S) == {"i-0": UNRESPONSIVE_MS}
+    tracker.left("i-0", "a", 2.0)
+    assert tracker.costs(2.1) == {"i-0": UNRESPONSIVE_MS}
+    assert tracker.costs(2.1 + LOST_CALL_VALID_S) == {}
 
 
-def test_a_call_that_left_in_time_says_nothing():
-    made = silent_servers()
-    made.sent(servers()[0], "a", 0.0)
-    made.left("i-0", "a", 0.3)
-    assert made.costs(LATE_S) == {}
+def test_a_call_that_left_in_time_does_not_count():
+    tracker = silent_servers()
+    tracker.sent(servers()[0], "a", 0.0)
+    tracker.left("i-0", "a", 0.3)
+    assert tracker.costs(LATE_S) == {}
 
 
-def test_a_server_that_answers_others_has_merely_lost_an_answer():
-    """One answer in forty is lost on its way: shunned for it, every server would be."""
-    made = silent_servers()
-    made.sent(servers()[0], "lost", 0.0)
+def test_a_server_that_answers_other_calls_is_not_unresponsive():
+    """One answer in forty is lost on the network; every server would be avoided for it."""
+    tracker = silent_servers()
+    tracker.sent(servers()[0], "lost", 0.0)
     for n in range(6):
-        made.sent(servers()[0], f"a-{n}", LATE_S)
-        made.answered("i-0", f"a-{n}", LATE_S + 0.1)
-    assert made.costs(LATE_S + 0.2) == {}
+        tracker.sent(servers()[0], f"a-{n}", LATE_S)
+        tracker.answered("i-0", f"a-{n}", LATE_S + 0.1)
+    assert tracker.costs(LATE_S + 0.2) == {}
 
 
-def test_a_burst_that_makes_calls_wait_does_not_drive_them_from_their_engines():
-    """Five of an engine's calls wait long in a burst while it answers twenty a second; calls that
-    leave it are read again elsewhere, and everybody is later for it.
+def test_a_burst_that_makes_calls_wait_does_not_move_them_to_other_engines():
+    """Five of an engine's calls wait long in a burst while it answers twenty a second. Calls that
+    moved elsewhere would be read again there, which delays all of them.
     """
-    made = silent_servers(9)
-    made.on_elsewhere({"i-0": 5, "i-3": 7, "i-1": 2}, {"i-0": 20, "i-3": 18, "i-1": 9})
-    assert made.costs(0.0) == {}
-    made.on_elsewhere({"i-0": 5}, {"i-0": 3})
-    assert set(made.costs(0.0)) == {"i-0"}
-
-
-def test_what_other_entries_lost_is_not_lost_again_here():
-    """Twenty-five entries each lose a stream to one hung engine before each knows for itself."""
-    made = BackendChooser("tx-austin", random.Random(1))
-    made.set_servers(servers(), 0.0)
-    made.answered("i-0", CallNeed("models"))
+    tracker = silent_servers(9)
+    tracker.set_other_counts({"i-0": 5, "i-3": 7, "i-1": 2}, {"i-0": 20, "i-3": 18, "i-1": 9})
+    assert tracker.costs(0.0) == {}
+    tracker.set_other_counts({"i-0": 5}, {"i-0": 3})
+    assert set(tracker.costs(0.0)) == {"i-0"}
+
+
+def test_overdue_calls_of_other_entries_count_here():
+    """Guards against 25 entries that each lose a stream to a hung engine before detecting it."""
+    chooser = BackendChooser("tx-austin", random.Random(1))
+    chooser.set_servers(servers(), 0.0)
+    chooser.answered("i-0", CallNeed("models"))
     signs = ServerSigns(silent_by_server={"i-0": 3}, answered_by_server={"i-3": 5})
-    made.on_load_elsewhere(LoadElsewhere(24, {}, signs), 0.0)
+    chooser.on_load_elsewhere(LoadElsewhere(24, {}, signs), 0.0)
     chosen = set()
     for _ in range(40):
-        record = made.choose(CallNeed("models"), 0.1)
-        made.started(record.server_id, 0.1)
+        record = chooser.choose(CallNeed("models"), 0.1)
+        chooser.started(record.server_id, 0.1)
         chosen.add(record.server_id)
     assert "i-0" not in chosen
 
 
-def test_a_zone_without_power_is_left_after_its_first_silent_servers():
-    """Its other servers have not been tried lately; each would cost a call to find out."""
-    made = silent_servers(9)
-    made.on_elsewhere({"i-1": 2, "i-4": 3}, {"i-0": 4, "i-2": 3})
-    costs = made.costs(0.0)
+def test_a_zone_without_power_is_avoided_after_its_first_unresponsive_servers():
+    """Its other servers have had no recent calls; each would lose a call before it is detected."""
+    tracker = silent_servers(9)
+    tracker.set_other_counts({"i-1": 2, "i-4": 3}, {"i-0": 4, "i-2": 3})
+    costs = tracker.costs(0.0)
     assert {"i-1", "i-4", "i-7"} <= set(costs)
-    assert costs["i-7"] >= SILENT_MS
+    assert costs["i-7"] >= UNRESPONSIVE_MS
     assert not {"i-0", "i-2", "i-3"} & set(costs)
 
 
-def test_one_hung_server_says_nothing_of_its_zone():
-    made = silent_servers(9)
-    made.on_elsewhere({"i-1": 5}, {"i-4": 2})
-    assert set(made.costs(0.0)) == {"i-1"}
+def test_one_hung_server_does_not_count_against_its_zone():
+    tracker = silent_servers(9)
+    tracker.set_other_counts({"i-1": 5}, {"i-4": 2})
+    assert set(tracker.costs(0.0)) == {"i-1"}
 
 
-def test_a_service_that_is_slow_everywhere_has_no_silent_servers():
-    """In an overload every answer takes a second; what is late is what is later than that."""
-    made = silent_servers()
+def test_a_service_that_is_slow_everywhere_has_no_unresponsive_servers():
+    """In an overload every answer takes a second; only calls that take much longer are overdue."""
+    tracker = silent_servers()
     for n in range(200):
-        made.sent(servers()[n % 6], f"a-{n}", float(n))
-        made.answered(f"i-{n % 6}", f"a-{n}", n + 1.0)
-    made.sent(servers()[0], "b", 300.0)
-    assert made.costs(302.0) == {}
+        tracker.sent(servers()[n % 6], f"a-{n}", float(n))
+        tracker.answered(f"i-{n % 6}", f"a-{n}", n + 1.0)
+    tracker.sent(servers()[0], "b", 300.0)
+    assert tracker.costs(302.0) == {}
 
 
-def test_what_was_told_long_ago_counts_no_more():
-    """Collectors fall silent themselves; a server that is well would stay shunned for good."""
-    made = BackendChooser("tx-austin", random.Random(1))
-    made.set_servers(servers(1), 0.0)
+def test_old_reports_do_not_count():
+    """Collectors may stop sending; a recovered server must not be avoided for good."""
+    chooser = BackendChooser("tx-austin", random.Random(1))
+    chooser.set_servers(servers(1), 0.0)
     signs = ServerSigns(silent_by_server={"i-0": 3})
-    made.on_load_elsewhere(LoadElsewhere(24, {}, signs), 0.0)
-    made.choose(CallNeed("models"), 0.1)
-    assert made.silent.costs(0.1)
-    made.choose(CallNeed("models"), 5.0)
-    assert not made.silent.costs(5.0)
+    chooser.on_load_elsewhere(LoadElsewhere(24, {}, signs), 0.0)
+    chooser.choose(CallNeed("models"), 0.1)
+    assert chooser.silent.costs(0.1)
+    chooser.choose(CallNeed("models"), 5.0)
+    assert not chooser.silent.costs(5.0)
