--- a/libs/decisions/tarragonhall_decisions/__init__.py
+++ b/libs/decisions/tarragonhall_decisions/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions under load. Each module stands alone: time and random come in, decisions go out."""
+"""Decisions under load, without I/O: time and randomness are passed in, decisions are returned."""
 
 from __future__ import annotations
 
--- a/libs/decisions/tarragonhall_decisions/_home_regions.py
+++ b/libs/decisions/tarragonhall_decisions/_home_regions.py
@@ -1,4 +1,4 @@
-"""In which availability zones a call may run whose route or organisation names home regions."""
+"""The availability zones for calls whose route or organisation is bound to home regions."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
     organisation_regions: Iterable[str],
     region_by_zone: Mapping[str, str],
 ) -> frozenset[str] | None:
-    """Return the zones where a call may run; None where neither names regions, both bind.
+    """Return the zones where a call may run; None where neither names regions.
 
-    A zone whose region is not known is nobody's home.
+    If both name regions, both must allow the zone. A zone of unknown region is never allowed.
     """
-    bounds = [frozenset(one) for one in (route_regions, organisation_regions) if one]
-    if not bounds:
+    allowed = [frozenset(names) for names in (route_regions, organisation_regions) if names]
+    if not allowed:
         return None
-    regions = frozenset.intersection(*bounds)
+    regions = frozenset.intersection(*allowed)
     return frozenset(zone for zone, region in region_by_zone.items() if region in regions)
 
 
@@ -27,7 +27,7 @@
     own_zone: str,
     region_by_zone: Mapping[str, str],
 ) -> bool:
-    """Return whether what stores in these zones keep stays at home or in the caller's region.
+    """Return whether data stored in these zones stays in the home regions or the caller's region.
 
     Callers connect to entries of their own region.
     """
--- a/libs/decisions/tarragonhall_decisions/_in_service.py
+++ b/libs/decisions/tarragonhall_decisions/_in_service.py
@@ -1,4 +1,4 @@
-"""The calls that servers run for one entry, and how fast places come free."""
+"""The calls that servers run for one entry, and how fast their slots come free."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class RunningCall(Protocol):
-    """What is asked of a call that runs: its cost, its expected run time, when it was taken."""
+    """What is required of a running call: its cost, expected run time and start time."""
 
     call_id: str
     cost: float
@@ -17,7 +17,7 @@
 
 
 class InService:
-    """The calls taken from one queue or several that share the servers."""
+    """The running calls of one queue, or of several that share the servers."""
 
     __slots__ = ("_by_id",)
 
@@ -25,18 +25,18 @@
         self._by_id: dict[str, RunningCall] = {}
 
     def add(self, call: RunningCall) -> None:
-        """Note a call that was given a place."""
+        """Record a call that was given a slot."""
         self._by_id[call.call_id] = call
 
     def remove(self, call_id: str) -> bool:
-        """Note that a call has left its place; return whether it held one."""
+        """Record that a call has released its slot; return whether it held one."""
         return self._by_id.pop(call_id, None) is not None
 
     def drain_per_s(self, now: float) -> float:
         """Return the cost that ends in a second; zero while nothing runs.
 
-        A call that takes longer than expected counts with its age, so the rate sinks while
-        servers hang and follows a loss of servers at once.
+        A call that takes longer than expected counts with its age, so the rate falls while servers
+        hang and follows a loss of servers at once.
         """
         return sum(
             call.cost / max(call.run_s, now - call.taken, MIN_RUN_S)
--- a/libs/decisions/tarragonhall_decisions/_quarantine.py
+++ b/libs/decisions/tarragonhall_decisions/_quarantine.py
@@ -1,11 +1,11 @@
 """Quarantine of requests that crash their backend server.
 
 Load pattern: one request crashes each server that runs it, and its caller sends it again. Without
-quarantine it takes down the servers one by one, and everything that ran beside it.
+quarantine it would crash the servers one by one, with all the calls that run beside it.
 
-When a server crashes, all the requests that ran on it are suspects: nobody can tell which did it.
-They are retried apart, no two suspects on one server at a time. A second crash with one suspect on
-board then names the culprit; the innocent suspects run to their end elsewhere and are cleared.
+When a server crashes, all requests that ran on it are suspects, since the cause is unknown. They
+are retried apart, no two suspects on one server at a time. A second crash with one suspect among
+the running requests identifies the cause; the others complete elsewhere and are cleared.
 """
 
 from __future__ import annotations
@@ -14,9 +14,11 @@
 
 from tarragonhall_model import Execution, Refusal, RefusalCode
 
-# Crashes of servers after which a request is refused.
-CONVICTING_CRASHES = 2
-# Seconds without a crash after which a request is no longer suspected.
+# Crashes of servers after which a request is refused: one crash may be the server's own fault, and
+# a third would cost another server.
+REFUSE_AFTER_CRASHES = 2
+# Seconds without a crash after which a request is no longer suspected, far longer than a caller's
+# retries last, so that one crash of a server does not slow its requests for good.
 FORGET_AFTER_S = 600.0
 RETRY_AFTER_MS = 600_000
 
@@ -35,7 +37,7 @@
     _running_by_server: dict[str, list[str]] = field(default_factory=dict)
 
     def learn(self, fingerprint: str, crashes: int, now: float) -> None:
-        """Take over the journal's count of crashes for a request."""
+        """Store the journal's count of crashes for a request."""
         if crashes <= 0:
             return
         suspect = self._by_fingerprint.setdefault(fingerprint, _Suspect())
@@ -43,9 +45,9 @@
         suspect.last_crash = now
 
     def refusal(self, fingerprint: str, now: float) -> Refusal | None:
-        """Return the refusal of a request that is known to crash servers."""
-        suspect = self._live(fingerprint, now)
-        if suspect is None or suspect.crashes < CONVICTING_CRASHES:
+        """Return the refusal of a request that is known to crash servers; None for any other."""
+        suspect = self._current_suspect(fingerprint, now)
+        if suspect is None or suspect.crashes < REFUSE_AFTER_CRASHES:
             return None
         return Refusal(
             RefusalCode.QUARANTINED,
@@ -55,11 +57,11 @@
         )
 
     def is_suspect(self, fingerprint: str, now: float) -> bool:
-        """Return whether the request ran on a server that crashed lately."""
-        return self._live(fingerprint, now) is not None
+        """Return whether the request ran on a server that crashed recently."""
+        return self._current_suspect(fingerprint, now) is not None
 
     def servers_to_avoid(self, fingerprint: str, now: float) -> frozenset[str]:
-        """Return the servers on which the request must not start now: another suspect is there."""
+        """Return the servers where another suspect runs; the request must not start there."""
         if not self.is_suspect(fingerprint, now):
             return frozenset()
         return frozenset(
@@ -69,11 +71,11 @@
         )
 
     def on_start(self, fingerprint: str, server_id: str) -> None:
-        """Note that a request starts on a server."""
+        """Record that a request starts on a server."""
         self._running_by_server.setdefault(server_id, []).append(fingerprint)
 
     def on_end(self, fingerprint: str, server_id: str, answered: bool) -> None:
-        """Note that a request has left a server; an answer clears it of suspicion."""
+        """Record that a request has left a server; an answer clears it of suspicion."""
         running = self._running_by_server.get(server_id, [])
         if fingerprint in running:
             running.remove(fingerprint)
@@ -83,10 +85,10 @@
             self._by_fingerprint.pop(fingerprint, None)
 
     def on_crash(self, server_id: str, now: float) -> list[str]:
-        """Note that a server crashed; return the fingerprints to report to the journal.
+        """Record that a server crashed; return the fingerprints to report to the journal.
 
-        Where suspects were among the requests on board only they are charged again: the others are
-        merely put under suspicion if there was none.
+        If suspects were among the running requests, the crash counts against them alone; otherwise
+        all the running requests become suspects.
         """
         running = list(dict.fromkeys(self._running_by_server.pop(server_id, [])))
         charged = charged_by_crash(
@@ -99,10 +101,10 @@
         return charged
 
     def _crashes(self, fingerprint: str, now: float) -> int:
-        suspect = self._live(fingerprint, now)
+        suspect = self._current_suspect(fingerprint, now)
         return suspect.crashes if suspect else 0
 
-    def _live(self, fingerprint: str, now: float) -> _Suspect | None:
+    def _current_suspect(self, fingerprint: str, now: float) -> _Suspect | None:
         suspect = self._by_fingerprint.get(fingerprint)
         if suspect is not None and now - suspect.last_crash > FORGET_AFTER_S:
             del self._by_fingerprint[fingerprint]
@@ -111,6 +113,6 @@
 
 
 def charged_by_crash(crashes_by_fingerprint: dict[str, int]) -> list[str]:
-    """Return which of the requests on board of a crashed server are charged with the crash."""
+    """Return the requests running on a crashed server against which the crash counts."""
     suspects = [item for item, crashes in crashes_by_fingerprint.items() if crashes > 0]
     return suspects or list(crashes_by_fingerprint)
--- a/libs/decisions/tarragonhall_decisions/_registry.py
+++ b/libs/decisions/tarragonhall_decisions/_registry.py
@@ -1,14 +1,14 @@
-"""Which backend servers of the relay there are, from announcements that come late or twice.
+"""The relay's backend servers, from announcements that may be late or duplicated.
 
 Load pattern: thousands of servers announce themselves every second or so, at any control member,
-and move on to another one after a failure. An announcement that was held up by a partition arrives
-after its sender crashed and another server took its address; a server restarts under its old id
-and counts its sequence anew. Taking whatever came last would send calls to servers that are gone,
-and callers would wait for connections that nobody answers.
-
-Order: of one id, the later start wins, and within one life the higher sequence. Of one address, the
-later start wins. A server that left stays known as gone, so that a late announcement of the same
-life does not bring it back.
+and move on to another one after a failure. An announcement delayed by a partition arrives after its
+sender crashed and another server took its address; a server restarts under its old id and counts
+its sequence anew. If the last arrival won, calls would be sent to servers that are gone and wait
+for connections that nobody accepts.
+
+Order: of one id, the later start wins, and within one incarnation the higher sequence. Of one
+address, the later start wins. A server that left stays known as gone, so that a late announcement
+of the same incarnation does not bring it back.
 """
 
 from __future__ import annotations
@@ -17,12 +17,14 @@
 
 from tarragonhall_model import BackendRecord
 
-# Seconds after which a server that did not announce itself is marked as unheard.
-SILENT_S = 5.0
-# Milliseconds by which the warm-up that a server still needs may differ from what followers work
-# out themselves before they are told.
-WARMUP_SLACK_MS = 300
-# Seconds after which it is forgotten.
+# Seconds after which a server that has not announced itself is marked as unreachable: three
+# heartbeat intervals and a margin for late ones. It stays listed, as it may be cut off from the
+# control members alone while entries still reach it.
+UNREACHABLE_AFTER_S = 5.0
+# Milliseconds by which a server's remaining warm-up may differ from what followers compute
+# themselves before they are sent an update.
+WARMUP_TOLERANCE_MS = 300
+# Seconds after which a server is forgotten, which limits the table to those of the last minutes.
 FORGET_S = 120.0
 
 
@@ -37,71 +39,75 @@
     return record.sequence > known.sequence
 
 
-def says_the_same(record: BackendRecord, known: BackendRecord) -> bool:
+def is_unchanged(record: BackendRecord, known: BackendRecord) -> bool:
     """Return whether two announcements differ in their sequence and warm-up alone."""
     return replace(record, sequence=0, warmup_ms=0) == replace(known, sequence=0, warmup_ms=0)
 
 
 @dataclass(slots=True)
-class _Heard:
+class _Announced:
     record: BackendRecord
-    at: float
+    received_at: float
 
 
 class Registry:
-    """What one control member has heard of the backend servers. Times are monotonic seconds."""
+    """The backend servers that one control member knows; times are monotonic seconds."""
 
-    __slots__ = ("_heard_by_id", "version")
+    __slots__ = ("_known_by_id", "version")
 
     def __init__(self) -> None:
         self.version = 0
-        self._heard_by_id: dict[str, _Heard] = {}
+        self._known_by_id: dict[str, _Announced] = {}
 
     def hear(self, record: BackendRecord, now: float) -> BackendRecord | None:
-        """Take an announcement; return it where it changes what followers should know."""
-        heard = self._heard_by_id.get(record.server_id)
-        if heard is None:
-            self._heard_by_id[record.server_id] = _Heard(record, now)
+        """Store an announcement; return it if followers need an update, else None."""
+        known = self._known_by_id.get(record.server_id)
+        if known is None:
+            self._known_by_id[record.server_id] = _Announced(record, now)
             return self._changed(record)
-        if not is_newer(record, heard.record):
+        if not is_newer(record, known.record):
             return None
-        changed = not says_the_same(record, heard.record)
-        changed |= abs(record.warmup_ms - _warmup_left(heard, now)) > WARMUP_SLACK_MS
-        heard.record = record
-        heard.at = now
+        changed = not is_unchanged(record, known.record)
+        changed |= abs(record.warmup_ms - _warmup_left(known, now)) > WARMUP_TOLERANCE_MS
+        known.record = record
+        known.received_at = now
         return self._changed(record) if changed else None
 
     def leave(self, server_id: str, born_ms: int | None, now: float) -> BackendRecord:
-        """Take a server's word that it leaves for good; `born_ms` names its life, where given."""
-        heard = self._heard_by_id.get(server_id)
-        if heard is None:
-            # Heard by another member alone: the mark is merged with what that one knows.
+        """Mark a server as gone after its leave notice; `born_ms` names its incarnation."""
+        known = self._known_by_id.get(server_id)
+        if known is None:
+            # Only another member knows this server: the mark is merged with that member's record.
             record = BackendRecord(server_id, "", "", "", 0, born_ms or 0, 0, gone=True)
-            self._heard_by_id[server_id] = _Heard(record, now)
+            self._known_by_id[server_id] = _Announced(record, now)
             return self._changed(record)
-        if born_ms is not None and born_ms < heard.record.born_ms:
-            return heard.record
-        heard.record = replace(heard.record, gone=True)
-        heard.at = now
-        return self._changed(heard.record)
+        if born_ms is not None and born_ms < known.record.born_ms:
+            return known.record
+        known.record = replace(known.record, gone=True)
+        known.received_at = now
+        return self._changed(known.record)
 
     def tick(self, now: float) -> list[BackendRecord]:
-        """Return the servers that fell silent since the last time; forget those long gone."""
-        silent = []
-        for server_id, heard in list(self._heard_by_id.items()):
-            if now - heard.at > FORGET_S:
-                del self._heard_by_id[server_id]
+        """Return servers that became unreachable since the last tick; forget those long gone."""
+        unreachable = []
+        for server_id, known in list(self._known_by_id.items()):
+            if now - known.received_at > FORGET_S:
+                del self._known_by_id[server_id]
                 continue
-            if heard.record.heard and not heard.record.gone and now - heard.at > SILENT_S:
-                heard.record = replace(heard.record, heard=False)
-                silent.append(self._changed(heard.record))
-        return silent
+            if (
+                known.record.heard
+                and not known.record.gone
+                and now - known.received_at > UNREACHABLE_AFTER_S
+            ):
+                known.record = replace(known.record, heard=False)
+                unreachable.append(self._changed(known.record))
+        return unreachable
 
     def records(self, now: float) -> list[BackendRecord]:
-        """Return all that is known, for a follower that has nothing yet."""
+        """Return all records, for a follower that has none yet."""
         return [
-            replace(heard.record, warmup_ms=_warmup_left(heard, now))
-            for heard in self._heard_by_id.values()
+            replace(known.record, warmup_ms=_warmup_left(known, now))
+            for known in self._known_by_id.values()
         ]
 
     def _changed(self, record: BackendRecord) -> BackendRecord:
@@ -109,54 +115,61 @@
         return record
 
 
-def _warmup_left(heard: _Heard, now: float) -> int:
-    """Return for how much longer a server stays cold by its last announcement, milliseconds."""
-    passed_ms = int((now - heard.at) * 1000)
-    return max(0, heard.record.warmup_ms - passed_ms)
+def _warmup_left(known: _Announced, now: float) -> int:
+    """Return for how many more milliseconds a server stays cold by its last announcement."""
+    passed_ms = int((now - known.received_at) * 1000)
+    return max(0, known.record.warmup_ms - passed_ms)
 
 
 class BackendTable:
-    """What one entry knows of the backend servers, merged from several control members.
+    """The backend servers that one entry knows, merged from several control members.
 
-    A server that one member no longer hears may be heard by another: it counts as heard while any
-    member says so. `gone` and `draining` count as soon as any member says so of this life.
+    A server that one member cannot reach may be reachable for another: it counts as reachable while
+    any member reports it so. `gone` and `draining` count as soon as any member reports them for the
+    current incarnation.
     """
 
-    __slots__ = ("_by_source", "_ids_by_address", "by_id")
+    __slots__ = ("_ids_by_address", "_records_by_source", "by_id")
 
     def __init__(self) -> None:
         self.by_id: dict[str, BackendRecord] = {}
-        # Looked up for changed servers alone: going through all of them at each change takes the
-        # square of their number where they all start at once.
+        # Looked up for changed servers alone: a scan of all servers at each change would take the
+        # square of their number when they all start at once.
         self._ids_by_address: dict[str, set[str]] = {}
-        self._by_source: dict[str, dict[str, BackendRecord]] = {}
+        self._records_by_source: dict[str, dict[str, BackendRecord]] = {}
 
     def replace_source(self, source: str, records: list[BackendRecord]) -> set[str]:
-        """Take everything that a member knows; return the ids whose merged record changed."""
-        ids = set(self._by_source.get(source, {})) | {record.server_id for record in records}
-        self._by_source[source] = {record.server_id: record for record in records}
+        """Replace all that a member knows; return the ids whose merged record changed."""
+        ids = set(self._records_by_source.get(source, {})) | {
+            record.server_id for record in records
+        }
+        self._records_by_source[source] = {record.server_id: record for record in records}
         return self._merge(ids)
 
     def update_source(self, source: str, records: list[BackendRecord]) -> set[str]:
-        """Take some changes of a member; return the ids whose merged record changed."""
-        held = self._by_source.setdefault(source, {})
+        """Store some changes of a member; return the ids whose merged record changed."""
+        record_by_id = self._records_by_source.setdefault(source, {})
         for record in records:
-            held[record.server_id] = record
+            record_by_id[record.server_id] = record
         return self._merge({record.server_id for record in records})
 
     def drop_source(self, source: str) -> set[str]:
-        """Forget a member that is none any more; what no other names stays unheard."""
-        dropped = self._by_source.pop(source, {})
+        """Remove a former member; servers that no other member lists stay, as unreachable."""
+        dropped = self._records_by_source.pop(source, {})
         return self._merge(set(dropped))
 
     def _merge(self, ids: set[str]) -> set[str]:
         changed = set()
         for server_id in ids:
-            known = [held[server_id] for held in self._by_source.values() if server_id in held]
+            known = [
+                record_by_id[server_id]
+                for record_by_id in self._records_by_source.values()
+                if server_id in record_by_id
+            ]
             merged = _merged(known) if known else None
             before = self.by_id.get(server_id)
             if merged is None and before is not None:
-                # Every member forgot it, or they all restarted: it may still be there.
+                # All members forgot it or restarted: the server may still run.
                 merged = replace(before, heard=False)
             if merged is None or merged == before:
                 continue
@@ -174,35 +187,39 @@
         self.by_id[record.server_id] = record
 
     def _drop_replaced_at(self, address: str) -> set[str]:
-        """Mark as gone whatever stands at the address of a server that started later."""
-        standing = [self.by_id[server_id] for server_id in self._ids_by_address[address]]
-        standing = [record for record in standing if not record.gone]
-        if len(standing) < 2:
+        """Mark the older servers at one address as gone, and return their ids."""
+        present = [self.by_id[server_id] for server_id in self._ids_by_address[address]]
+        present = [record for record in present if not record.gone]
+        if len(present) < 2:
             return set()
-        newest = max(standing, key=lambda record: (record.born_ms, record.server_id))
-        replaced = {one.server_id for one in standing if one is not newest}
+        newest = max(present, key=lambda record: (record.born_ms, record.server_id))
+        replaced = {one.server_id for one in present if one is not newest}
         for server_id in replaced:
             self._put(replace(self.by_id[server_id], gone=True))
         return replaced
 
     def forget_gone(self) -> None:
-        """Drop the servers that every source has forgotten or that left for good."""
-        named = {server_id for held in self._by_source.values() for server_id in held}
+        """Drop the servers that no source lists any more."""
+        named = {
+            server_id
+            for record_by_id in self._records_by_source.values()
+            for server_id in record_by_id
+        }
         for server_id in list(self.by_id):
             if server_id not in named:
                 self._ids_by_address[self.by_id.pop(server_id).address].discard(server_id)
 
 
 def _merged(records: list[BackendRecord]) -> BackendRecord:
-    """Return the latest word on one server from several members."""
+    """Return the merged record of one server from several members."""
     latest = records[0]
     for record in records[1:]:
         if is_newer(record, latest):
             latest = record
-    same_life = [r for r in records if r.born_ms == latest.born_ms]
-    # A mark without a life comes from a member that never heard the server itself.
-    gone = any(r.gone for r in same_life) or any(r.gone and not r.born_ms for r in records)
-    heard = any(r.heard and not r.gone for r in same_life)
-    draining = any(r.draining for r in same_life)
+    same_incarnation = [r for r in records if r.born_ms == latest.born_ms]
+    # A mark without an incarnation comes from a member that never knew the server.
+    gone = any(r.gone for r in same_incarnation) or any(r.gone and not r.born_ms for r in records)
+    heard = any(r.heard and not r.gone for r in same_incarnation)
+    draining = any(r.draining for r in same_incarnation)
     named = latest if latest.address else next((r for r in records if r.address), latest)
     return replace(named, gone=gone, heard=heard, draining=draining)
--- a/libs/decisions/tests/crash_suspects_tests.py
+++ b/libs/decisions/tests/crash_suspects_tests.py
@@ -3,22 +3,22 @@
 from __future__ import annotations
 
 from tarragonhall_decisions import CrashSuspects
-from tarragonhall_decisions._crash_suspects import BARRING, FORGET_S, MOST_SUSPECTS
+from tarragonhall_decisions._crash_suspects import FORGET_S, MAX_BROKEN_RUNS, MAX_SUSPECTS
 
 
-def test_a_request_that_breaks_run_after_run_is_barred_for_a_while():
-    # Its caller sends it again and again; each server that takes it is gone for seconds.
+def test_a_request_whose_runs_all_break_is_refused_for_a_while():
+    # Its caller keeps retrying, and each server that runs it is down for seconds.
     suspects = CrashSuspects()
-    for number in range(BARRING):
+    for number in range(MAX_BROKEN_RUNS):
         assert not suspects.is_barred("bad", number)
         suspects.broke("bad", number)
-    assert suspects.is_barred("bad", BARRING)
-    assert not suspects.is_barred("other", BARRING)
-    assert not suspects.is_barred("bad", BARRING + FORGET_S)
+    assert suspects.is_barred("bad", MAX_BROKEN_RUNS)
+    assert not suspects.is_barred("other", MAX_BROKEN_RUNS)
+    assert not suspects.is_barred("bad", MAX_BROKEN_RUNS + FORGET_S)
 
 
 def test_an_answer_clears_the_suspicion():
-    # Servers lose answers now and then. A request that met two of those is not the cause.
+    # Servers lose answers now and then; a request that met two such losses is not the cause.
     suspects = CrashSuspects()
     suspects.broke("unlucky", 0.0)
     suspects.broke("unlucky", 1.0)
@@ -27,15 +27,15 @@
     assert not suspects.is_barred("unlucky", 2.0)
 
 
-def test_breaks_long_ago_do_not_count():
+def test_old_broken_runs_do_not_count():
     suspects = CrashSuspects()
-    for number in range(BARRING + 2):
+    for number in range(MAX_BROKEN_RUNS + 2):
         suspects.broke("rare", number * (FORGET_S + 1))
-    assert not suspects.is_barred("rare", (BARRING + 1) * (FORGET_S + 1))
+    assert not suspects.is_barred("rare", (MAX_BROKEN_RUNS + 1) * (FORGET_S + 1))
 
 
-def test_a_crash_of_everything_does_not_fill_the_memory():
+def test_remembered_suspects_are_limited():
     suspects = CrashSuspects()
-    for number in range(MOST_SUSPECTS + 10):
+    for number in range(MAX_SUSPECTS + 10):
         suspects.broke(f"r-{number}", 0.0)
-    assert len(suspects._by_fingerprint) == MOST_SUSPECTS
+    assert len(suspects._by_fingerprint) == MAX_SUSPECTS
--- a/libs/decisions/tests/load_digest_tests.py
+++ b/libs/decisions/tests/load_digest_tests.py
@@ -1,10 +1,10 @@
-"""How entries learn of each other's calls."""
+"""Exchange of loads between entries."""
 
 from __future__ import annotations
 
 import pytest
 from tarragonhall_decisions import LoadDigest
-from tarragonhall_decisions._load_digest import DIRECT_ENTRIES, LOAD_VALID_S
+from tarragonhall_decisions._load_digest import LOAD_VALID_S, MAX_DIRECT_ENTRIES
 from tarragonhall_model import (
     EntryLoad,
     EntryRecord,
@@ -16,7 +16,7 @@
 
 
 class Entries:
-    """A number of entries over some zones, and the messages between them."""
+    """Entries spread over some zones, and the messages between them."""
 
     def __init__(self, count: int, zones: int) -> None:
         self.records = [
@@ -34,7 +34,7 @@
             digest.on_view(self.records)
 
     def round(self, now: float) -> None:
-        """Let every entry tell its load once, then every collector its sums."""
+        """Let every entry send its load once, then every collector its sums."""
         for address, digest in self.digest_by_address.items():
             if address not in self.down:
                 self.deliver(digest.announce(self.load_by_address[address]), now)
@@ -70,64 +70,67 @@
         return sums
 
 
-def test_each_entry_learns_what_all_others_have_running():
-    made = Entries(count=60, zones=5)
+def test_each_entry_receives_the_load_of_all_others():
+    cluster = Entries(count=60, zones=5)
     for step in range(3):
-        made.round(now=step * 0.6)
-    for record in made.records:
-        told = made.elsewhere_by_address[record.address]
-        assert told.running_by_server == made.others_of(record.address)
-        assert told.entries == 59
+        cluster.round(now=step * 0.6)
+    for record in cluster.records:
+        received = cluster.elsewhere_by_address[record.address]
+        assert received.running_by_server == cluster.others_of(record.address)
+        assert received.entries == 59
 
 
 @pytest.mark.parametrize("count", [60, 180, 360])
 def test_messages_grow_with_the_number_of_entries_and_not_with_its_square(count):
-    made = Entries(count, zones=6)
-    made.round(now=0.0)
-    assert made.messages <= 4 * count + 60
+    cluster = Entries(count, zones=6)
+    cluster.round(now=0.0)
+    assert cluster.messages <= 4 * count + 60
 
 
-def test_few_entries_tell_each_other_without_a_collector():
-    made = Entries(count=DIRECT_ENTRIES - 1, zones=3)
-    made.round(now=0.0)
-    assert not any(one.is_collector() for one in made.digest_by_address.values())
-    assert made.messages == (DIRECT_ENTRIES - 1) * (DIRECT_ENTRIES - 2)
+def test_few_entries_exchange_loads_without_a_collector():
+    cluster = Entries(count=MAX_DIRECT_ENTRIES - 1, zones=3)
+    cluster.round(now=0.0)
+    assert not any(one.is_collector() for one in cluster.digest_by_address.values())
+    assert cluster.messages == (MAX_DIRECT_ENTRIES - 1) * (MAX_DIRECT_ENTRIES - 2)
 
 
-def test_a_collector_that_stops_leaves_no_entry_without_news():
-    # Guards against a frozen or dead collector: its zone would choose without knowing of others.
-    made = Entries(count=60, zones=5)
+def test_a_collector_that_stops_leaves_no_entry_without_updates():
+    # Guards against a frozen or dead collector, whose zone would choose without knowing other
+    # loads.
+    cluster = Entries(count=60, zones=5)
     for step in range(3):
-        made.round(now=step * 0.6)
-    made.down = {
+        cluster.round(now=step * 0.6)
+    cluster.down = {
         next(
-            a for a, d in made.digest_by_address.items() if d.is_collector() and a not in made.down
+            a
+            for a, d in cluster.digest_by_address.items()
+            if d.is_collector() and a not in cluster.down
         )
     }
-    made.elsewhere_by_address.clear()
+    cluster.elsewhere_by_address.clear()
     for step in range(3):
-        made.round(now=2 * LOAD_VALID_S + step * 0.6)
-    for record in made.records:
-        if record.address in made.down:
+        cluster.round(now=2 * LOAD_VALID_S + step * 0.6)
+    for record in cluster.records:
+        if record.address in cluster.down:
             continue
-        told = made.elsewhere_by_address[record.address]
-        assert told.running_by_server == made.others_of(record.address)
+        received = cluster.elsewhere_by_address[record.address]
+        assert received.running_by_server == cluster.others_of(record.address)
 
 
-def test_an_entry_that_stops_counts_no_more():
+def test_a_stopped_entry_does_not_count():
     # Guards against calls of a dead entry that would keep others from a free server.
-    made = Entries(count=60, zones=5)
-    made.round(now=0.0)
-    stopped = next(a for a, d in made.digest_by_address.items() if not d.is_collector())
-    made.down = {stopped}
+    cluster = Entries(count=60, zones=5)
+    cluster.round(now=0.0)
+    stopped = next(a for a, d in cluster.digest_by_address.items() if not d.is_collector())
+    cluster.down = {stopped}
     for step in range(3):
-        made.round(now=2 * LOAD_VALID_S + step * 0.6)
-    watcher = made.records[1].address
-    assert made.elsewhere_by_address[watcher].running_by_server == made.others_of(watcher)
+        cluster.round(now=2 * LOAD_VALID_S + step * 0.6)
+    watcher = cluster.records[1].address
+    assert cluster.elsewhere_by_address[watcher].running_by_server == cluster.others_of(watcher)
 
 
-def test_collectors_add_up_what_entries_see_of_silent_servers():
-    """A sum that lost them would leave each entry to find a hung server by its own calls."""
+def test_collectors_sum_the_overdue_calls_of_entries():
+    """If the sum lost them, each entry would have to detect a hung server by its own calls."""
     entries = [EntryRecord(f"e-{n}", "1", f"a:{n}", f"z-{n % 2}") for n in range(40)]
     digests = {one.entry_id: LoadDigest(one) for one in entries}
     for digest in digests.values():
@@ -139,8 +142,8 @@
         for one in entries
         if one.availability_zone == zone and one.entry_id != collector
     )
-    told = EntryLoad(other, {"s": 1}, ServerSigns({"s": 1}, {"s": 4}))
-    digests[collector].on_entry_load(told, 0.0)
+    received = EntryLoad(other, {"s": 1}, ServerSigns({"s": 1}, {"s": 4}))
+    digests[collector].on_entry_load(received, 0.0)
     elsewhere = digests[collector].elsewhere({"s": 2}, 0.1, ServerSigns({"s": 2}))
     assert elsewhere.running_by_server == {"s": 1}
     assert elsewhere.signs == ServerSigns({"s": 1}, {"s": 4})
--- a/libs/decisions/tests/planning_tests.py
+++ b/libs/decisions/tests/planning_tests.py
@@ -1,4 +1,4 @@
-"""Drain, subsets, load orders and cache, each by what callers or servers see of it."""
+"""Drain, subsets, load orders and cache, judged by the effect on callers and servers."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     return ServerRecord(name, "1", name, zone, ServerKind.MODEL, ["m"], 4, draining)
 
 
-def test_entry_leaves_only_when_its_calls_are_answered():
+def test_entry_exits_only_when_its_calls_are_answered():
     """An entry is restarted while calls run. It must stay until the last one has its answer."""
     drain = EntryDrain(grace_s=2.0)
     drain.begin(0.0)
@@ -44,8 +44,8 @@
 
 
 def test_draining_unhealthy_and_unlinked_servers_get_no_work():
-    """A server says that it leaves, another that its engine is down, a third falls silent. Calls
-    sent there would wait in vain.
+    """One server drains, the engine of another is down, and a third has no link. Calls sent there
+    would wait in vain.
     """
     router = Router("zone-a", random.Random(1))
     router.on_view([server("d", draining=True), server("u"), server("l"), server("ok")])
@@ -56,7 +56,7 @@
 
 
 def test_own_zone_first():
-    """Two servers in the entry's own zone and two in another are idle; calls stay near."""
+    """Two servers in the entry's own zone and two in another are idle; calls stay in the zone."""
     router = Router("zone-a", random.Random(1))
     router.on_view([server("a1"), server("a2"), server("b1", "zone-b"), server("b2", "zone-b")])
     chosen = Counter(router.choose(Need("m", f"p{n}"), 0.0).server.server_id for n in range(50))
@@ -64,8 +64,8 @@
 
 
 def test_slow_server_keeps_a_small_share():
-    """A server was found slow. It must get few calls, as each is slow for its caller, but not none,
-    or nobody would find out that it has recovered while the others carry its load.
+    """A slow server must get few calls, as each delays its caller, but not none, or its recovery
+    would go unnoticed while the others carry its load.
     """
     router = Router("zone-a", random.Random(1))
     router.on_view([server("slow"), server("b"), server("c")])
@@ -81,7 +81,7 @@
 
 
 def test_subsets_cover_the_servers_evenly():
-    """Each of 360 entries links to a part of 3,700 servers. A server known to few entries would
+    """Each of 360 entries links to a part of 3,700 servers. A server linked from few entries would
     idle while the others queue.
     """
     entries = [f"e{n}" for n in range(360)]
@@ -106,13 +106,13 @@
 
 
 def engines(now_on: dict[str, str]) -> list[EngineState]:
-    """Return idle engines by the model they have."""
+    """Return idle engines by their model."""
     return [EngineState(name, model, "v1", 0.1) for name, model in now_on.items()]
 
 
-def test_load_order_waits_for_a_lasting_lack():
+def test_load_order_waits_for_lasting_demand():
     """A burst for one model passes in a few seconds. Loading weights for it would take longer than
-    the burst, and the engine would be missed where it was.
+    the burst, and the engine would be missing for its own model.
     """
     orders = ModelOrders()
     on = engines({"e1": "a", "e2": "b", "e3": "b"})
@@ -145,11 +145,11 @@
 
 
 def test_ended_programs_are_released_first():
-    """An engine's memory is full of ended and paused programs. Dropping a paused one makes its next
-    turn recompute everything.
+    """An engine's memory is full of ended and paused programs. Releasing a paused one makes its
+    next turn recompute everything.
     """
     held = [
-        HeldPrefix("ended", 500, 1.0, living=False),
+        HeldPrefix("ended", 500, 1.0, active=False),
         HeldPrefix("running", 500, None),
         HeldPrefix("long-idle", 300, 300.0),
         HeldPrefix("fresh", 300, 1.0),
--- a/libs/decisions/tests/quarantine_tests.py
+++ b/libs/decisions/tests/quarantine_tests.py
@@ -1,4 +1,4 @@
-"""Quarantine, judged by how many servers a crashing request takes and who is refused."""
+"""Quarantine, judged by how many servers a crashing request takes and which callers are refused."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 from tarragonhall_decisions import Quarantine
 
 
-def test_culprit_is_found_and_bystanders_are_cleared():
-    """A request crashes its server beside seven others, and all eight are tried again. It must cost
-    at most two servers, and none of the innocent callers may be refused.
+def test_crashing_request_is_identified_and_others_are_cleared():
+    """A request crashes its server beside seven others, and all eight are retried. It must cost at
+    most two servers, and none of the other callers may be refused.
     """
     quarantine = Quarantine()
     requests = [f"r{number}" for number in range(8)]
@@ -47,8 +47,8 @@
     assert [item for item in requests if quarantine.refusal(item, 100.0)] == ["r3"]
 
 
-def test_single_crash_convicts_nobody():
-    """A server dies by itself with calls on board. Their callers must not be locked out for it."""
+def test_single_crash_refuses_no_request():
+    """A server crashes on its own; the callers of its running calls must not be refused."""
     quarantine = Quarantine()
     quarantine.on_start("a", "s0")
     quarantine.on_crash("s0", 0.0)
@@ -57,16 +57,16 @@
     assert not quarantine.is_suspect("a", 1_000.0)
 
 
-def test_conviction_of_the_journal_holds_here():
+def test_crash_counts_of_the_journal_refuse_a_request():
     """The caller sends the request again through another entry, which saw none of the crashes."""
     quarantine = Quarantine()
     quarantine.learn("a", 2, 0.0)
     assert quarantine.refusal("a", 1.0) is not None
 
 
-def test_bystander_of_a_suspect_is_not_suspected():
-    """A suspect crashes the next server as well. What ran there for the first time only had bad
-    luck; charged with the crash, it would be refused after one more.
+def test_request_running_beside_a_suspect_is_not_suspected():
+    """A suspect crashes the next server as well. A request that ran there for the first time is not
+    the cause; if the crash counted against it, it would be refused after one more.
     """
     quarantine = Quarantine()
     quarantine.learn("culprit", 1, 0.0)
