--- a/libs/decisions/tarragonhall_decisions/_server_state.py
+++ b/libs/decisions/tarragonhall_decisions/_server_state.py
@@ -15,8 +15,8 @@
 SLOWER_GAIN = 0.25
 # Weight of a faster call, doubled since a slow server gets few calls.
 FASTER_GAIN = 0.5
-# Fraction of the learnt speed that a server without calls loses at each step, so that it is tried
-# again after about half a minute.
+# Fraction by which the learnt speed of a server without calls returns to the median at each step,
+# so that the server is tried again after about half a minute.
 STALE_GAIN = 0.01
 # Ratio to the median from which a server counts as slow: outside the spread of healthy servers with
 # mixed batches, and a server twice as slow still delays a program less than a queue would.
--- a/libs/decisions/tests/backend_choice_tests.py
+++ b/libs/decisions/tests/backend_choice_tests.py
@@ -49,7 +49,7 @@
     assert chooser.choose(history, 0.0).server_id == "i-4"
 
 
-def test_entries_without_load_information_send_one_subject_to_one_engine():
+def test_entries_without_known_holders_send_one_subject_to_one_engine():
     # No entry knows yet what engines hold. If each sent a subject to another engine, every engine
     # would read every subject.
     chosen = {
@@ -125,14 +125,14 @@
     # A server does not answer. If every call tried it, each would wait for it; if none did, it
     # would stay unused after its recovery.
     chooser = make_chooser(engines(3))
-    home = chooser.choose(need(), 0.0).server_id
+    server_id = chooser.choose(need(), 0.0).server_id
     now = 0.0
     for number in range(8):
-        chooser.failed(home, now)
+        chooser.failed(server_id, now)
         pause = min(MAX_AVOID_S, AVOID_S * 2**number)
-        assert chooser.choose(need(), now + pause / 2).server_id != home
+        assert chooser.choose(need(), now + pause / 2).server_id != server_id
         now += pause + 0.01
-    assert chooser.choose(need(), now).server_id == home
+    assert chooser.choose(need(), now).server_id == server_id
 
 
 def test_the_only_server_is_tried_although_it_failed():
@@ -174,10 +174,10 @@
     # Each entry sees only its own calls. Without the others' counts, each would take the engine
     # that all of them use for idle.
     chooser = make_chooser(engines(3))
-    home = chooser.choose(need(), 0.0).server_id
-    chooser.on_entry_load("entry-2", {home: 12}, 0.0)
-    assert chooser.choose(need(), 0.1).server_id != home
-    assert chooser.choose(need(), 0.1 + OTHER_LOAD_VALID_S).server_id == home
+    server_id = chooser.choose(need(), 0.0).server_id
+    chooser.on_entry_load("entry-2", {server_id: 12}, 0.0)
+    assert chooser.choose(need(), 0.1).server_id != server_id
+    assert chooser.choose(need(), 0.1 + OTHER_LOAD_VALID_S).server_id == server_id
 
 
 def test_a_few_calls_do_not_move_a_conversation():
--- a/libs/decisions/tests/load_digest_tests.py
+++ b/libs/decisions/tests/load_digest_tests.py
@@ -95,8 +95,8 @@
 
 
 def test_a_collector_that_stops_leaves_no_entry_without_updates():
-    # Guards against a frozen or dead collector, whose zone would choose without knowing other
-    # loads.
+    # Guards against a frozen or dead collector, whose zone would choose without the loads of
+    # others.
     cluster = Entries(count=60, zones=5)
     for step in range(3):
         cluster.round(now=step * 0.6)
@@ -142,8 +142,8 @@
         for one in entries
         if one.availability_zone == zone and one.entry_id != collector
     )
-    received = EntryLoad(other, {"s": 1}, ServerSigns({"s": 1}, {"s": 4}))
-    digests[collector].on_entry_load(received, 0.0)
+    entry_load = EntryLoad(other, {"s": 1}, ServerSigns({"s": 1}, {"s": 4}))
+    digests[collector].on_entry_load(entry_load, 0.0)
     elsewhere = digests[collector].elsewhere({"s": 2}, 0.1, ServerSigns({"s": 2}))
     assert elsewhere.running_by_server == {"s": 1}
     assert elsewhere.signs == ServerSigns({"s": 1}, {"s": 4})
