--- a/libs/consensus/tarragonhall_consensus/__init__.py
+++ b/libs/consensus/tarragonhall_consensus/__init__.py
@@ -1,8 +1,8 @@
-"""Replicated log: election, replication, membership, snapshots and synced storage.
+"""Replicated log: elections, replication, membership changes, snapshots and durable storage.
 
 The factory is `open_replica(folder, member_id, address, bootstrap, machine, rng, now)`; it returns
-a `ReplicaApi`. `bootstrap` lists the founding members (one for a single member) with empty
-identities and is used only where the folder is new.
+a `ReplicaApi`. `bootstrap` lists the initial members with empty identities (one entry for a
+single-member group) and is used only if the folder is new.
 """
 
 from __future__ import annotations
--- a/libs/consensus/tarragonhall_consensus/_core.py
+++ b/libs/consensus/tarragonhall_consensus/_core.py
@@ -1,4 +1,4 @@
-"""What the parts of a replica share: term, vote, log, membership, role and the outputs at hand."""
+"""State shared by the parts of a replica: term, vote, log, membership, role, pending outputs."""
 
 from __future__ import annotations
 
@@ -17,24 +17,24 @@
 NEVER = float("-inf")
 
 
-# A member that was started stands within this share of an election timeout after it may: members
-# that were killed together are started some tenths of a second apart by themselves.
-_FIRST_SPREAD = 0.3
-# Pre-votes are asked for again after this share of an election timeout, up to twice as long.
-_PRE_VOTE_SHARE = 0.25
+# Random delay of the first election after a start, as a fraction of the election timeout. It can be
+# small: members that were killed together already restart some tenths of a second apart.
+_FIRST_ELECTION_JITTER = 0.3
+# Pre-votes are retried after this fraction of an election timeout, up to twice as long.
+_PRE_VOTE_RETRY_FRACTION = 0.25
 
 
 class Core:
-    """The state of one member that every part reads, and the few ways in which it changes."""
+    """The state of one member, read by every part, and the methods that change it."""
 
     __slots__ = (
-        "_reported",
-        "_standing",
+        "_is_candidate",
+        "_last_reported",
         "applied_index",
         "commit_index",
         "election_at",
-        "heard_at",
         "leader",
+        "leader_contact_at",
         "leadership",
         "limits",
         "machine",
@@ -68,15 +68,17 @@
         self.outputs: list[Output] = []
         self.leader: str | None = None
         self.leadership: Leadership | None = None
-        self._standing = False
-        self._reported: RoleChanged | None = None
-        # This member may have promised the leader its silence right before it was restarted. The
-        # leader still counts on that for its lease, so the start of this process counts as having
-        # heard it: whatever an earlier one promised, it promised before.
-        self.heard_at = started_at if storage.state.group else NEVER
-        # All members may have been restarted. Whoever asks first may go on at once: the others
-        # refuse as long as they may have promised their silence, and are asked again.
-        self.election_at = started_at + limits.election_seconds * (1 + _FIRST_SPREAD * rng.random())
+        self._is_candidate = False
+        self._last_reported: RoleChanged | None = None
+        # An earlier process of this member may have answered the leader right before the restart,
+        # and the leader's lease relies on that answer. All such answers came before this process
+        # started, so the start counts as the last contact with the leader.
+        self.leader_contact_at = started_at if storage.state.group else NEVER
+        # If all members were restarted, the first candidate should win without another election
+        # timeout: the others reject it while a lease may still hold, and it retries soon after.
+        self.election_at = started_at + limits.election_seconds * (
+            1 + _FIRST_ELECTION_JITTER * rng.random()
+        )
 
     @property
     def term(self) -> int:
@@ -85,25 +87,25 @@
 
     @property
     def identity(self) -> str:
-        """Return the identity drawn with this data folder."""
+        """Return the identity generated when this data folder was created."""
         return self.storage.identity
 
     @property
     def group(self) -> str:
-        """Return the group this folder belongs to, empty before it does."""
+        """Return the group that this folder belongs to, or an empty string if none yet."""
         return self.storage.state.group
 
     @property
     def is_voter(self) -> bool:
-        """Return whether this member, under this identity, votes in the group."""
+        """Return whether this member votes in the group under its current identity."""
         return self.membership.is_voter(self.member_id, self.identity)
 
     @property
     def role(self) -> Role:
-        """Return what this member is."""
+        """Return the current role of this member."""
         if self.leadership is not None:
             return Role.LEADER
-        if self._standing:
+        if self._is_candidate:
             return Role.CANDIDATE
         if self.is_voter:
             return Role.FOLLOWER
@@ -112,7 +114,7 @@
         return Role.OUTSIDE
 
     def send(self, peer: str, message: Message) -> None:
-        """Send a message once the step's sync is done."""
+        """Queue a message; it leaves after the sync of this step."""
         self.outputs.append(SendTo(peer, message))
 
     def envelope(self, to_identity: str) -> Envelope:
@@ -120,97 +122,97 @@
         return Envelope(self.group, self.identity, to_identity, self.term)
 
     def is_for_this_identity(self, envelope: Envelope) -> bool:
-        """Return whether a message is meant for this data folder.
+        """Return whether a message is addressed to this data folder.
 
-        A member that lost its folder has forgotten its votes and its log. If it answered for its
-        old identity it could vote twice in one term, or let a majority form that has lost a
-        committed entry; callers would see accepted changes vanish.
+        A member that lost its folder has lost its votes and its log. If it answered under its old
+        identity, it could vote twice in one term or complete a majority that lacks a committed
+        entry, and accepted changes would be lost.
         """
         return envelope.to_identity in ("", self.identity)
 
     def is_from_this_group(self, envelope: Envelope) -> bool:
-        """Return whether the sender belongs to this member's group, or may bring it into one."""
+        """Return whether the sender is in this member's group, or this member has none yet."""
         if not envelope.group:
             return False
         return not self.group or envelope.group == self.group
 
     def join_group(self, group: str) -> None:
-        """Belong to the group from now on, where this folder is still new."""
+        """Store the group, unless this folder already belongs to one."""
         if not self.group:
             self.storage.save_state(self.term, "", group)
 
     def save_vote(self, term: int, vote: str) -> None:
-        """Remember term and vote; they are synced before any message of this step leaves."""
+        """Store term and vote; they are synced before any message of this step leaves."""
         self.storage.save_state(term, vote, self.group)
 
-    def follow(self, term: int, leader: str | None) -> None:
-        """Be a follower in the term, giving up whatever role there was."""
+    def become_follower(self, term: int, leader: str | None) -> None:
+        """Become a follower in the term, ending any candidacy or leadership."""
         if term > self.term:
             self.save_vote(term, "")
             self.leader = None
         if leader is not None:
             self.leader = leader
-        self._standing = False
+        self._is_candidate = False
         if self.leadership is not None:
             leadership, self.leadership = self.leadership, None
             if self.leader == self.member_id:
                 self.leader = None
             leadership.abandon()
-            self.put_off_election()
+            self.restart_election_timer()
 
-    def stand(self) -> None:
-        """Be a candidate, without a known leader."""
-        self._standing = True
+    def become_candidate(self) -> None:
+        """Become a candidate, with no known leader."""
+        self._is_candidate = True
         self.leader = None
 
-    def lead(self, leadership: Leadership) -> None:
-        """Be the leader of the current term."""
-        self._standing = False
+    def become_leader(self, leadership: Leadership) -> None:
+        """Become the leader of the current term."""
+        self._is_candidate = False
         self.leadership = leadership
         self.leader = self.member_id
 
-    def hear_leader(self) -> None:
-        """Note a sign of life of the leader."""
-        self.heard_at = self.now
-        self.put_off_election()
+    def record_leader_contact(self) -> None:
+        """Record contact with the leader and restart the election timer."""
+        self.leader_contact_at = self.now
+        self.restart_election_timer()
 
-    def leader_is_alive(self) -> bool:
-        """Return whether the leader was heard so lately that it may hold its lease.
+    def leader_may_hold_lease(self) -> bool:
+        """Return whether the last contact is so recent that the leader may still hold its lease.
 
-        A vote given now could make a second leader while the first still answers.
+        A vote granted now could elect a second leader while the first still serves reads.
         """
         if self.leadership is not None:
             return True
-        return self.now - self.heard_at < self.limits.election_seconds
+        return self.now - self.leader_contact_at < self.limits.election_seconds
 
-    def put_off_election(self) -> None:
-        """Wait a random time, from one to two election timeouts, before standing again."""
+    def restart_election_timer(self) -> None:
+        """Schedule the next election in one to two election timeouts, at random."""
         self.election_at = self.now + self.limits.election_seconds * (1 + self.rng.random())
 
-    def ask_again_soon(self) -> None:
-        """Wait a random time, up to half an election timeout, before asking for pre-votes again.
+    def schedule_pre_vote_retry(self) -> None:
+        """Schedule the next pre-vote in a random time of at most half an election timeout.
 
-        Asking changes nothing at the others. They refuse as long as a leader may have a lease,
-        mostly for some tens of milliseconds after this member began to ask; waiting a whole
-        election timeout for that would double the time without a leader.
+        Pre-votes change no state at the peers. Peers reject them while a leader may hold a lease,
+        mostly for some tens of milliseconds after the first request; waiting a whole election
+        timeout would double the time without a leader.
         """
-        wait = _PRE_VOTE_SHARE * (1 + self.rng.random())
+        wait = _PRE_VOTE_RETRY_FRACTION * (1 + self.rng.random())
         self.election_at = self.now + self.limits.election_seconds * wait
 
     def put(self, index: int, entry: Entry) -> None:
-        """Put an entry of the leader in the log, dropping what was there and after it."""
+        """Write an entry of the leader at `index`, dropping existing entries from there on."""
         self.membership.drop_from(index)
         self.storage.put(index, entry)
-        self.membership.take(index, entry)
+        self.membership.add_entry(index, entry)
 
     def append(self, entry: Entry) -> int:
-        """Put an entry of this leader at the end of the log and return its index."""
+        """Append an entry as leader and return its index."""
         index = self.storage.append(entry)
-        self.membership.take(index, entry)
+        self.membership.add_entry(index, entry)
         return index
 
-    def install(self, meta: SnapshotMeta, data: bytes) -> None:
-        """Take the leader's snapshot in place of state and log."""
+    def install_snapshot(self, meta: SnapshotMeta, data: bytes) -> None:
+        """Replace state and log with a snapshot of the leader."""
         self.storage.save_snapshot(meta, data)
         self.membership.load(meta, self.storage.log)
         self.commit_index = meta.index
@@ -218,8 +220,8 @@
         self.machine.restore(data)
 
     def report_role(self) -> None:
-        """Add a `RoleChanged` where role, term or leader differ from the last one."""
+        """Add a `RoleChanged` output if role, term or leader changed since the last one."""
         current = RoleChanged(self.role.value, self.term, self.leader)
-        if current != self._reported:
-            self._reported = current
+        if current != self._last_reported:
+            self._last_reported = current
             self.outputs.append(current)
--- a/libs/consensus/tarragonhall_consensus/_files.py
+++ b/libs/consensus/tarragonhall_consensus/_files.py
@@ -1,4 +1,4 @@
-"""The few file system calls that storage needs, so that tests can put a failure between any two."""
+"""The file system calls that storage needs, so that tests can inject a failure between any two."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 
 
 class AppendFile(Protocol):
-    """A new file that is only ever appended to."""
+    """A new, append-only file."""
 
     def write(self, data: bytes) -> None:
-        """Append all the bytes; they last only once `sync` has returned."""
+        """Append all the bytes; they are durable only after `sync` has returned."""
 
     def sync(self) -> None:
-        """Make every byte written so far last."""
+        """Make every byte written so far durable."""
 
     def close(self) -> None:
-        """Release the file without syncing it."""
+        """Close the file without syncing it."""
 
 
 class Files(Protocol):
     """A file system. Every method raises `StorageError` when the call fails."""
 
     def make_folder(self, path: str) -> None:
-        """Make the folder and its parents where they are missing."""
+        """Create the folder and its parents if they are missing."""
 
     def names(self, folder: str) -> list[str]:
         """Return the names in the folder, sorted."""
@@ -39,19 +39,19 @@
         """Return the whole file."""
 
     def create(self, path: str) -> AppendFile:
-        """Create an empty file for appending; an older file of the name is replaced."""
+        """Create an empty file for appending, replacing any file of that name."""
 
     def rename(self, old: str, new: str) -> None:
-        """Give a file another name, replacing what had it; lasts once the folder is synced."""
+        """Rename a file, replacing any file at `new`; durable once the folder is synced."""
 
     def remove(self, path: str) -> None:
-        """Remove a file; lasts once the folder is synced."""
+        """Remove a file; durable once the folder is synced."""
 
     def sync_folder(self, path: str) -> None:
-        """Make created, renamed and removed names in the folder last."""
+        """Make all creations, renames and removals in the folder durable."""
 
     def lock(self, path: str) -> object:
-        """Lock the file against every other process until the returned object is closed."""
+        """Lock the file against other processes until the returned object is closed."""
 
 
 def disk_files() -> Files:
@@ -69,12 +69,12 @@
 
     def write(self, data: bytes) -> None:
         rest = memoryview(data)
-        with _reported(self._path, "write"):
+        with _storage_errors(self._path, "write"):
             while rest:
                 rest = rest[os.write(self._descriptor, rest) :]
 
     def sync(self) -> None:
-        with _reported(self._path, "sync"):
+        with _storage_errors(self._path, "sync"):
             os.fdatasync(self._descriptor)
 
     def close(self) -> None:
@@ -99,35 +99,35 @@
     __slots__ = ()
 
     def make_folder(self, path: str) -> None:
-        with _reported(path, "make folder"):
+        with _storage_errors(path, "make folder"):
             missing = _missing_folders(path)
             os.makedirs(path, mode=0o700, exist_ok=True)
-        # A new folder lasts only once the folder that names it is synced.
+        # A new folder is durable only once its parent folder is synced.
         for folder in missing:
             self.sync_folder(os.path.dirname(folder) or ".")
 
     def names(self, folder: str) -> list[str]:
-        with _reported(folder, "list"):
+        with _storage_errors(folder, "list"):
             return sorted(os.listdir(folder))
 
     def read(self, path: str) -> bytes:
-        with _reported(path, "read"):
+        with _storage_errors(path, "read"):
             return Path(path).read_bytes()
 
     def create(self, path: str) -> AppendFile:
-        with _reported(path, "create"):
+        with _storage_errors(path, "create"):
             return _DiskFile(path)
 
     def rename(self, old: str, new: str) -> None:
-        with _reported(new, "rename"):
+        with _storage_errors(new, "rename"):
             os.rename(old, new)
 
     def remove(self, path: str) -> None:
-        with _reported(path, "remove"):
+        with _storage_errors(path, "remove"):
             os.unlink(path)
 
     def sync_folder(self, path: str) -> None:
-        with _reported(path, "sync"):
+        with _storage_errors(path, "sync"):
             descriptor = os.open(path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
             try:
                 os.fsync(descriptor)
@@ -135,7 +135,7 @@
                 os.close(descriptor)
 
     def lock(self, path: str) -> object:
-        with _reported(path, "open"):
+        with _storage_errors(path, "open"):
             descriptor = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -154,8 +154,8 @@
 
 
 @contextlib.contextmanager
-def _reported(path: str, action: str) -> Iterator[None]:
-    """Turn the system's error into one that says what to do."""
+def _storage_errors(path: str, action: str) -> Iterator[None]:
+    """Convert an `OSError` into a `StorageError` that says what to do."""
     try:
         yield
     except OSError as error:
--- a/libs/consensus/tarragonhall_consensus/_frames.py
+++ b/libs/consensus/tarragonhall_consensus/_frames.py
@@ -1,8 +1,8 @@
-"""Frames: how bytes lie in a file so that a torn end and corruption can be told apart.
+"""Frame format of files, which allows a torn end to be told apart from corruption.
 
 A frame is `magic, length, sequence, crc32, payload`. The writer syncs each frame before it writes
-the next one. So only the last frame of a file can be torn by a crash; a bad frame that a good one
-of a later sequence follows was damaged after it had been synced.
+the next one, so a crash can tear only the last frame of a file. A bad frame that is followed by a
+valid frame with a higher sequence was damaged after it had been synced.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
 
 @dataclass(slots=True, frozen=True)
 class Scan:
-    """What a file holds. `bad_at` is the offset of the first bad frame, None where all are good.
+    """The contents of a file. `bad_at` is the offset of the first bad frame, None if all are valid.
 
-    `followed` says that a good frame of a later sequence comes after the bad one.
+    `has_later_frame` is true if a valid frame with a later sequence comes after the bad one.
     """
 
     payloads: list[bytes]
     good_bytes: int
     bad_at: int | None
-    followed: bool
+    has_later_frame: bool
 
 
 def frame(sequence: int, payload: bytes) -> bytes:
@@ -35,21 +35,24 @@
 
 
 def scan(data: bytes, first_sequence: int) -> Scan:
-    """Read frames numbered from `first_sequence` until the end or the first bad one."""
+    """Read frames numbered from `first_sequence` up to the end or the first bad frame."""
     payloads = []
     offset = 0
     while offset < len(data):
         payload = _frame_at(data, offset, first_sequence + len(payloads))
         if payload is None:
-            followed = _is_followed(data, offset + 1, first_sequence + len(payloads))
-            return Scan(payloads, offset, offset, followed)
+            has_later_frame = _has_later_frame(data, offset + 1, first_sequence + len(payloads))
+            return Scan(payloads, offset, offset, has_later_frame)
         payloads.append(payload)
         offset += HEADER_BYTES + len(payload)
     return Scan(payloads, offset, None, False)
 
 
 def _frame_at(data: bytes, offset: int, sequence: int | None) -> bytes | None:
-    """Return the payload of the good frame at the offset; any sequence will do where it is None."""
+    """Return the payload of a valid frame at the offset, else None.
+
+    If `sequence` is None, any sequence is accepted.
+    """
     if len(data) - offset < HEADER_BYTES:
         return None
     magic, length, found, crc = _HEADER.unpack_from(data, offset)
@@ -62,11 +65,10 @@
     return payload if _crc(found, payload) == crc else None
 
 
-def _is_followed(data: bytes, offset: int, sequence: int) -> bool:
-    """Return whether a good frame later than `sequence` starts at or after the offset.
+def _has_later_frame(data: bytes, offset: int, sequence: int) -> bool:
+    """Return whether a valid frame later than `sequence` starts at or after the offset.
 
-    The length in a damaged header cannot be trusted, so every place that looks like a header is
-    tried.
+    The length in a damaged header cannot be trusted, so every occurrence of the magic is tried.
     """
     offset = data.find(MAGIC, offset)
     while offset >= 0:
--- a/libs/consensus/tarragonhall_consensus/_interface.py
+++ b/libs/consensus/tarragonhall_consensus/_interface.py
@@ -1,8 +1,8 @@
-"""The replicated log as its user sees it: events in, outputs out, one state machine on top.
+"""Public interface of the replicated log: events, outputs and the state machine that it drives.
 
-`Replica.step(events, now)` takes a batch, syncs storage once for the whole batch, and only then
-returns the outputs, so that nothing leaves a member before what it promises is on disk. `now` is
-the monotonic clock in seconds.
+`Replica.step(events, now)` handles a batch of events, syncs storage once for the whole batch, and
+only then returns the outputs, so no message leaves a member before the data that it acknowledges is
+on disk. `now` is the monotonic clock in seconds.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class Machine(Protocol):
-    """What the log drives. `apply` must give the same result on every member."""
+    """The replicated state machine. `apply` must be deterministic: equal on every member."""
 
     def apply(self, index: int, data: bytes) -> object:
         """Apply one committed entry and return its result."""
@@ -28,7 +28,7 @@
 
 
 class Role(enum.StrEnum):
-    """What a member is at the moment."""
+    """The current role of a member. OUTSIDE: not in the member list under this identity."""
 
     OUTSIDE = "outside"
     LEARNER = "learner"
@@ -39,12 +39,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Tick:
-    """Time has passed. Feed one every `TICK_SECONDS` or so."""
+    """Time has passed; to be sent about every `TICK_SECONDS`."""
 
 
 @dataclass(slots=True, frozen=True)
 class Received:
-    """A message of this library arrived from a peer."""
+    """A message of this library was received from a peer."""
 
     peer: str
     message: object
@@ -52,7 +52,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ProposeData:
-    """Put data in the log. Ends in `ProposalDone` or `ProposalLost` with the same token."""
+    """Append data to the log. Ends in `ProposalDone` or `ProposalLost` with the same token."""
 
     token: int
     data: bytes
@@ -60,18 +60,18 @@
 
 @dataclass(slots=True, frozen=True)
 class ConfirmRead:
-    """Confirm the lead with a majority. Ends in `ReadConfirmed` or `ReadLost`."""
+    """Confirm leadership with a majority. Ends in `ReadConfirmed` or `ReadLost`."""
 
     token: int
 
 
 @dataclass(slots=True, frozen=True)
 class ChangeMember:
-    """Add, remove or replace one member. Ends like a proposal, once an added one votes.
+    """Add, remove or replace one member. Ends like a proposal; an addition once the member votes.
 
     `replace` is for a member that lost its data folder: the old identity loses its vote at once,
-    the new one is caught up first. Leave the identity empty to take the one that answers at the
-    address.
+    the new one votes after it has caught up. With an empty identity, the identity that answers at
+    the address is used.
     """
 
     token: int
@@ -82,7 +82,7 @@
 
 @dataclass(slots=True, frozen=True)
 class TakeSnapshot:
-    """Write a snapshot of what is applied and shorten the log, without waiting for its size."""
+    """Write a snapshot of the applied state and compact the log now, whatever its size."""
 
 
 Event = Tick | Received | ProposeData | ConfirmRead | ChangeMember | TakeSnapshot
@@ -90,7 +90,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendTo:
-    """Send the message to the peer; loss is allowed."""
+    """Send the message to the peer; it may be lost."""
 
     peer: str
     message: object
@@ -98,7 +98,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ProposalDone:
-    """The proposal was committed at `index` and applied here with this result."""
+    """The proposal was committed at `index` and applied on this member with this result."""
 
     token: int
     index: int
@@ -107,7 +107,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ProposalLost:
-    """This member cannot tell what becomes of the proposal. `not_logged` says it never will be."""
+    """The outcome of the proposal is unknown, unless `not_logged`: then it was never logged."""
 
     token: int
     leader: str | None
@@ -117,14 +117,14 @@
 
 @dataclass(slots=True, frozen=True)
 class ReadConfirmed:
-    """A majority confirmed the lead after the read was asked; state is at least that new."""
+    """A majority confirmed leadership after the read was requested; the state is that recent."""
 
     token: int
 
 
 @dataclass(slots=True, frozen=True)
 class ReadLost:
-    """The lead could not be confirmed."""
+    """Leadership could not be confirmed."""
 
     token: int
     leader: str | None
@@ -132,7 +132,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RoleChanged:
-    """This member's role, term or known leader changed. `role` is the field's usual name."""
+    """This member's role, term or known leader changed. `role` is a value of `Role`."""
 
     role: str
     term: int
@@ -151,21 +151,22 @@
 class PeerStatus:
     """What the leader knows of a peer.
 
-    `silent_seconds` is None before the peer has answered. `other_identity` is set while the peer
-    answers from another data folder than the member list names: it must be replaced.
+    `seconds_since_contact` is the time since the last contact, None before the first one.
+    `other_identity` is set while the peer answers from a data folder with an identity other than
+    the listed one: it must be replaced.
     """
 
     match_index: int
-    silent_seconds: float | None
+    seconds_since_contact: float | None
     other_identity: str = ""
 
 
 @dataclass(slots=True, frozen=True)
 class Status:
-    """What operators see of a member. `peer_by_id` is filled on the leader alone.
+    """The status of a member for operators. `peer_by_id` is filled only on the leader.
 
-    `unled_seconds` is how long no leader has been heard, 0 on the leader; `leading_seconds` is how
-    long this member has led, 0 on the others.
+    `leaderless_seconds` is the time since the last contact with a leader, 0 on the leader itself;
+    `leading_seconds` is how long this member has been leader, 0 on the others.
     """
 
     member_id: str
@@ -179,7 +180,7 @@
     identity: str
     address: str
     peer_by_id: dict[str, PeerStatus] = field(default_factory=dict)
-    unled_seconds: float = 0.0
+    leaderless_seconds: float = 0.0
     leading_seconds: float = 0.0
 
 
@@ -187,13 +188,13 @@
     """One member of the group."""
 
     def step(self, events: list[Event], now: float) -> list[Output]:
-        """Handle a batch of events and return what is to be done, after one sync at most."""
+        """Handle a batch of events and return the outputs, after at most one sync."""
 
     def status(self) -> Status:
-        """Return what operators see."""
+        """Return the status of this member."""
 
     def is_leader(self, now: float) -> bool:
-        """Return whether this member leads and its lease has not run out by `now`."""
+        """Return whether this member is the leader and its lease is valid at `now`."""
 
     def close(self) -> None:
         """Release the data folder."""
--- a/libs/consensus/tarragonhall_consensus/_leadership.py
+++ b/libs/consensus/tarragonhall_consensus/_leadership.py
@@ -1,4 +1,4 @@
-"""One term as leader: proposals, commit, the check of the majority, reads and member changes."""
+"""One term as leader: proposals, commits, majority contact, reads and member changes."""
 
 from __future__ import annotations
 
@@ -33,15 +33,15 @@
 
 
 class Leadership:
-    """Made when an election is won, dropped when the lead is lost."""
+    """Created when an election is won, dropped when leadership is lost."""
 
     __slots__ = (
         "_core",
-        "_joining",
+        "_elected_at",
+        "_join_token_by_id",
         "_reads",
         "_replication",
         "_rounds",
-        "_since",
         "_start_index",
         "_token_by_index",
         "_uncommitted_bytes",
@@ -49,91 +49,95 @@
 
     def __init__(self, core: Core) -> None:
         self._core = core
-        self._since = core.now
-        self._rounds = Rounds(keep_seconds=10 * core.limits.election_seconds)
+        self._elected_at = core.now
+        self._rounds = Rounds(retention_seconds=10 * core.limits.election_seconds)
         self._reads = Reads()
         self._replication = Replication(core, self._rounds)
         self._token_by_index: dict[int, int] = {}
-        self._joining: dict[str, int] = {}
+        self._join_token_by_id: dict[str, int] = {}
         self._uncommitted_bytes = 0
         # Entries of earlier terms are committed by committing this one; see `_may_commit`.
         self._start_index = core.append(Entry(core.term, EntryKind.NOOP, b""))
 
     def propose(self, event: ProposeData) -> None:
-        """Put data in the log, or refuse it where too much waits for a majority."""
+        """Append data to the log, or reject it if too many bytes are uncommitted."""
         core = self._core
         entry = Entry(core.term, EntryKind.DATA, event.data)
         size = entry_bytes(entry)
         if size > core.limits.uncommitted_bytes:
-            self._refuse(event.token, f"too large: {size} bytes")
+            self._reject(event.token, f"too large: {size} bytes")
             return
         if self._uncommitted_bytes + size > core.limits.uncommitted_bytes:
-            self._refuse(event.token, "too much waits for a majority; try again")
+            self._reject(event.token, "too many bytes wait to be committed; try again")
             return
         self._uncommitted_bytes += size
         self._token_by_index[core.append(entry)] = event.token
 
-    def ask_read(self, event: ConfirmRead) -> None:
-        """Let a read wait until a majority has answered a message sent after this moment."""
-        # Before the first entry of this term is committed, the commit index may lie behind what
-        # an earlier leader has told its callers.
+    def queue_read(self, event: ConfirmRead) -> None:
+        """Queue a read until a majority has answered a message that is sent after this call."""
+        # Until the first entry of this term is committed, the commit index may be behind what an
+        # earlier leader has acknowledged to callers.
         index = max(self._core.commit_index, self._start_index)
-        self._reads.ask(event.token, index, self._round_after_now())
+        self._reads.add(event.token, index, self._next_round())
 
     def change_member(self, event: ChangeMember) -> None:
-        """Begin to add, replace or remove a member, or refuse to."""
-        reason = self._why_not(event)
+        """Start to add, replace or remove a member, or reject the change."""
+        reason = self._rejection_reason(event)
         if reason:
-            self._refuse(event.token, reason)
+            self._reject(event.token, reason)
             return
         members = self._core.membership.members
         member = event.member
         if event.remove:
-            index = self._put_members(without(members, member.member_id))
+            index = self._append_members(without(members, member.member_id))
             self._token_by_index[index] = event.token
             return
-        self._put_members(with_learner(members, member))
-        self._joining[member.member_id] = event.token
+        self._append_members(with_learner(members, member))
+        self._join_token_by_id[member.member_id] = event.token
 
     def on_append_reply(self, peer: str, reply: AppendReply) -> None:
-        """Take in what a peer has synced, or where its log parts from this one."""
+        """Update a peer's progress from its reply to entries or a heartbeat."""
         self._replication.on_append_reply(peer, reply)
 
     def on_snapshot_reply(self, peer: str, reply: SnapshotReply) -> None:
-        """Take in how far a peer has got with its snapshot."""
+        """Update a peer's progress from its reply to a snapshot chunk."""
         self._replication.on_snapshot_reply(peer, reply)
 
     def on_other_identity(self, peer: str, message: OtherIdentity) -> None:
-        """Note, for operators, that a peer has lost its data folder."""
+        """Record, for operators, that a peer has lost its data folder."""
         self._replication.on_other_identity(peer, message)
 
-    def seconds(self) -> float:
-        """Return how long this member has led."""
-        return self._core.now - self._since
+    def duration_seconds(self) -> float:
+        """Return for how many seconds this member has been leader."""
+        return self._core.now - self._elected_at
 
     def peer_status(self) -> dict[str, PeerStatus]:
-        """Return what operators see of each peer."""
+        """Return the status of each peer for operators."""
         return self._replication.peer_status()
 
     def has_majority(self) -> bool:
-        """Return whether a majority answered lately; a leader without it must give up.
+        """Return whether a majority has answered recently; a leader without it must step down.
 
-        Behind a one-way cut a leader hears nobody but is heard, so nobody stands against it. It
-        would lead for ever without committing anything; callers would see every change hang.
+        Behind a one-way partition a leader receives no replies, but its heartbeats arrive, so no
+        election starts. It would stay leader without committing anything, and every change would
+        hang.
         """
-        silent = self._core.now - max(self._since, self._majority_contact_at())
-        return silent <= self._core.limits.election_seconds
+        since_contact = self._core.now - max(self._elected_at, self._majority_contact_at())
+        return since_contact <= self._core.limits.election_seconds
 
     def holds_lease(self, now: float) -> bool:
-        """Return whether no other leader can exist at `now`, and this one has all that was told."""
+        """Return whether no other leader can exist at `now` and this one's state is up to date.
+
+        It is up to date once an entry of this term is committed.
+        """
         core = self._core
         if core.commit_index < self._start_index:
             return False
-        # The time of this core's last step may lie far back if the process was paused since.
+        # `core.now`, the time of the last step, may be long ago if the process was paused since.
         return now < self._majority_contact_at(now) + core.limits.lease_seconds
 
     def promote_learners(self) -> None:
-        """Make a learner that has caught up a voter, one change at a time."""
+        """Promote learners that have caught up to voters, one change at a time."""
         core = self._core
         ready: dict[str, str] = {}
         for member in core.membership.members:
@@ -143,33 +147,35 @@
             if identity is not None:
                 ready[member.member_id] = identity
         for member_id, identity in ready.items():
-            if self._change_is_pending() or not self._lacks_voters(len(ready)):
+            if self._change_is_pending() or not self._needs_voter(len(ready)):
                 return
-            self._put_members(with_voter(core.membership.members, member_id, identity))
+            self._append_members(with_voter(core.membership.members, member_id, identity))
 
-    def _lacks_voters(self, ready: int) -> bool:
-        """Return whether one of so many learners is to become a voter."""
-        most = self._core.limits.most_voters
-        if most == 0:
+    def _needs_voter(self, ready: int) -> bool:
+        """Return whether one of `ready` learners should become a voter."""
+        max_voters = self._core.limits.most_voters
+        if max_voters == 0:
             return True
-        live = sum(1 for voter in self._core.membership.voters() if not self._is_silent(voter))
-        wanted = min(most, live + ready)
+        live = sum(
+            1 for voter in self._core.membership.voters() if not self._is_unresponsive(voter)
+        )
+        wanted = min(max_voters, live + ready)
         if wanted % 2 == 0:
             wanted -= 1
         return live < wanted
 
-    def _is_silent(self, voter: Member) -> bool:
+    def _is_unresponsive(self, voter: Member) -> bool:
         core = self._core
         if voter.member_id == core.member_id:
             return False
-        heard_at = max(self._since, self._replication.contact_at(voter.member_id))
-        return core.now - heard_at > core.limits.silent_seconds
+        contact_at = max(self._elected_at, self._replication.contact_at(voter.member_id))
+        return core.now - contact_at > core.limits.unresponsive_seconds
 
     def advance_commit(self) -> None:
-        """Commit what a majority has synced. Call only after this member's own sync."""
+        """Commit what a majority has synced. To be called only after this member's own sync."""
         core = self._core
         log = core.storage.log
-        matches = sorted(self._match_of(voter) for voter in core.membership.voters())
+        matches = sorted(self._match_index_of(voter) for voter in core.membership.voters())
         index = matches[len(matches) - core.membership.majority()]
         if index <= core.commit_index or not self._may_commit(index):
             return
@@ -179,19 +185,19 @@
                 self._uncommitted_bytes -= entry_bytes(entry)
         core.commit_index = index
 
-    def applied(self, index: int, result: object) -> None:
-        """Tell the proposer of an entry, if it was proposed here, that it was applied."""
+    def report_applied(self, index: int, result: object) -> None:
+        """Report to the proposer of an entry, if it was proposed here, that it was applied."""
         token = self._token_by_index.pop(index, None)
         if token is not None:
             self._core.outputs.append(ProposalDone(token, index, result))
 
-    def finish(self) -> None:
-        """Confirm reads and member changes that have got so far, and send what is to be sent."""
+    def finish_step(self) -> None:
+        """Complete member additions and confirmed reads, and send what is due to the peers."""
         self._finish_joins()
         core = self._core
         for token in self._reads.take_confirmed(self._answered_round(), core.applied_index):
             core.outputs.append(ReadConfirmed(token))
-        self._replication.send_all(self._reads.wanted_round)
+        self._replication.send_all(self._reads.required_round)
 
     def is_removed(self) -> bool:
         """Return whether this leader's own removal is committed."""
@@ -199,53 +205,53 @@
         return not core.is_voter and core.membership.index <= core.commit_index
 
     def abandon(self) -> None:
-        """Tell everyone who waits that this member no longer leads."""
+        """Report to all waiting callers that this member is no longer the leader."""
         core = self._core
-        tokens = [*self._token_by_index.values(), *self._joining.values()]
+        tokens = [*self._token_by_index.values(), *self._join_token_by_id.values()]
         for token in tokens:
-            lost = ProposalLost(token, core.leader, not_logged=False, reason="lost the lead")
+            lost = ProposalLost(token, core.leader, not_logged=False, reason="leadership lost")
             core.outputs.append(lost)
         for token in self._reads.take_all():
             core.outputs.append(ReadLost(token, core.leader))
 
-    def _refuse(self, token: int, reason: str) -> None:
+    def _reject(self, token: int, reason: str) -> None:
         lost = ProposalLost(token, self._core.member_id, not_logged=True, reason=reason)
         self._core.outputs.append(lost)
 
-    def _why_not(self, event: ChangeMember) -> str:
-        """Return why a member change is refused, empty where it is not."""
+    def _rejection_reason(self, event: ChangeMember) -> str:
+        """Return why a member change is rejected, or an empty string if it is not."""
         core = self._core
         present = core.membership.member_by_id.get(event.member.member_id)
         if core.commit_index < self._start_index:
-            # Two leaders that each change the list in force before they commit could end with
-            # majorities that do not meet.
+            # Two leaders in turn that each change the member list before they commit an entry could
+            # end with majorities that do not overlap.
             return "the leader has just been elected; try again"
         if self._change_is_pending():
-            return "another member change is under way; try again"
+            return "another member change is in progress; try again"
         if present is None and (event.remove or event.replace):
             return f"{event.member.member_id} is not a member"
         if present is not None and not event.remove and not event.replace:
-            return f"{event.member.member_id} is a member already; replace it if its disk was lost"
+            return f"{event.member.member_id} is already a member; replace it if its disk was lost"
         if present is not None and present.voting and len(core.membership.voters()) == 1:
             return f"{event.member.member_id} is the only voter"
         if event.replace and event.member.member_id == core.member_id:
-            return f"{event.member.member_id} leads; its folder is not lost"
+            return f"{event.member.member_id} is the leader; its folder is not lost"
         return ""
 
     def _change_is_pending(self) -> bool:
         return self._core.membership.index > self._core.commit_index
 
-    def _put_members(self, members: tuple[Member, ...]) -> int:
+    def _append_members(self, members: tuple[Member, ...]) -> int:
         core = self._core
         return core.append(members_entry(core.term, members))
 
     def _finish_joins(self) -> None:
-        """End additions whose member votes and holds everything up to its own promotion."""
+        """Complete additions whose member is a voter and has all entries up to its promotion."""
         core = self._core
-        for member_id, token in list(self._joining.items()):
+        for member_id, token in list(self._join_token_by_id.items()):
             member = core.membership.member_by_id.get(member_id)
             if member is None:
-                del self._joining[member_id]
+                del self._join_token_by_id[member_id]
                 reason = "removed before it had caught up"
                 lost = ProposalLost(token, core.member_id, not_logged=False, reason=reason)
                 core.outputs.append(lost)
@@ -253,35 +259,35 @@
             index = core.membership.index
             if not member.voting or index > core.commit_index:
                 continue
-            if self._match_of(member) < index:
+            if self._match_index_of(member) < index:
                 continue
-            del self._joining[member_id]
+            del self._join_token_by_id[member_id]
             core.outputs.append(ProposalDone(token, index, None))
 
-    def _match_of(self, voter: Member) -> int:
+    def _match_index_of(self, voter: Member) -> int:
         if voter.member_id == self._core.member_id:
             return self._core.storage.log.last_index
         return self._replication.match_index(voter.member_id)
 
     def _may_commit(self, index: int) -> bool:
-        """Return whether counting copies is enough to commit the entry: only in its own term.
+        """Return whether an entry on a majority is committed: only if it is of this term.
 
-        An entry of an earlier term may lie on a majority and still be overwritten by a leader
-        whose last entry has a later term; callers would lose what they were told was accepted.
+        An entry of an earlier term may be on a majority and still be overwritten by a leader whose
+        last entry has a later term; changes that were acknowledged would be lost.
         """
         return self._core.storage.log.term_at(index) == self._core.term
 
-    def _round_after_now(self) -> int:
+    def _next_round(self) -> int:
         return self._rounds.current + 1
 
     def _answered_round(self) -> int:
-        """Return the latest round that a majority has answered; all of them where it is alone."""
+        """Return the latest round that a majority has answered; any round for a sole voter."""
         own = self._rounds.current + 1
-        numbers = [self._replication.acked_round(voter.member_id) for voter in self._others()]
-        return self._majority_value(numbers, own)
+        rounds = [self._replication.acked_round(voter.member_id) for voter in self._others()]
+        return self._majority_value(rounds, own)
 
     def _majority_contact_at(self, now: float | None = None) -> float:
-        """Return the latest time for which a majority is known to have followed this leader."""
+        """Return the latest time at which a majority is known to have followed this leader."""
         own = self._core.now if now is None else now
         times = [self._replication.contact_at(voter.member_id) for voter in self._others()]
         return self._majority_value(times, own)
--- a/libs/consensus/tarragonhall_consensus/_membership.py
+++ b/libs/consensus/tarragonhall_consensus/_membership.py
@@ -1,8 +1,8 @@
-"""Who belongs to the group: the member list in force at each index of the log.
+"""Group membership: the member list that is active at each index of the log.
 
-A list is in force from the moment its entry is in the log, committed or not, and goes when the
-entry is dropped. Lists that follow one another differ by one voter at most, so that any majority
-of one meets any majority of the next.
+A list is active as soon as its entry is in the log, committed or not, and until the entry is
+dropped or a later list follows. Successive lists differ by at most one voter, so that any majority
+of one overlaps any majority of the next.
 """
 
 from __future__ import annotations
@@ -16,33 +16,33 @@
 
 
 @dataclass(slots=True, frozen=True)
-class _InForce:
+class _ActiveList:
     index: int
     members: tuple[Member, ...]
 
 
 class Membership:
-    """Member lists by the index that brought each."""
+    """The member lists, each with the index of its entry."""
 
     __slots__ = ("_lists", "_voters", "member_by_id")
 
     def __init__(self) -> None:
-        self._lists: list[_InForce] = []
+        self._lists: list[_ActiveList] = []
         self._voters: list[Member] = []
         self.member_by_id: dict[str, Member] = {}
 
     @property
     def index(self) -> int:
-        """Return the index of the entry that brought the list in force; 0 without any."""
+        """Return the index of the entry that holds the active list; 0 without any."""
         return self._lists[-1].index if self._lists else 0
 
     @property
     def members(self) -> tuple[Member, ...]:
-        """Return the list in force."""
+        """Return the active list."""
         return self._lists[-1].members if self._lists else ()
 
     def voters(self) -> list[Member]:
-        """Return the members whose votes and acknowledgements count."""
+        """Return the members whose votes and acknowledgements count towards a majority."""
         return self._voters
 
     def majority(self) -> int:
@@ -50,45 +50,45 @@
         return len(self._voters) // 2 + 1
 
     def is_voter(self, member_id: str, identity: str) -> bool:
-        """Return whether this identity of the member votes."""
+        """Return whether the member is a voter under this identity."""
         member = self.member_by_id.get(member_id)
         return member is not None and member.voting and member.identity == identity
 
     def is_member(self, member_id: str, identity: str) -> bool:
-        """Return whether this identity belongs to the group; a learner may be unknown yet."""
+        """Return whether this identity belongs to the group; any does while none is listed."""
         member = self.member_by_id.get(member_id)
         return member is not None and member.identity in ("", identity)
 
     def load(self, snapshot: SnapshotMeta | None, log: Log) -> None:
-        """Take the lists of the snapshot and of the entries after it."""
+        """Load the lists of the snapshot and of the entries after it."""
         self._lists = []
         start = log.base_index + 1
         if snapshot is not None:
-            self._lists.append(_InForce(snapshot.index, snapshot.members))
+            self._lists.append(_ActiveList(snapshot.index, snapshot.members))
             start = snapshot.index + 1
         for index in range(start, log.last_index + 1):
-            self.take(index, log.entry(index))
+            self.add_entry(index, log.entry(index))
         self._refresh()
 
-    def take(self, index: int, entry: Entry) -> None:
-        """Put the list of an entry in force, where the entry holds one."""
+    def add_entry(self, index: int, entry: Entry) -> None:
+        """Activate the list of an entry, if the entry holds one."""
         if entry.kind is EntryKind.MEMBERS:
-            self._lists.append(_InForce(index, decode(entry.data).members))
+            self._lists.append(_ActiveList(index, decode(entry.data).members))
             self._refresh()
 
     def drop_from(self, index: int) -> None:
-        """Go back to the list in force before `index`."""
+        """Return to the list that was active before `index`."""
         if self.index < index:
             return
         while self._lists and self._lists[-1].index >= index:
             self._lists.pop()
         self._refresh()
 
-    def at(self, index: int) -> tuple[Member, ...]:
-        """Return the list in force at an index."""
-        for in_force in reversed(self._lists):
-            if in_force.index <= index:
-                return in_force.members
+    def members_at(self, index: int) -> tuple[Member, ...]:
+        """Return the list that is active at an index."""
+        for active in reversed(self._lists):
+            if active.index <= index:
+                return active.members
         return ()
 
     def _refresh(self) -> None:
@@ -97,18 +97,18 @@
 
 
 def members_entry(term: int, members: tuple[Member, ...]) -> Entry:
-    """Return the entry that puts a member list in force."""
+    """Return the entry that activates a member list."""
     return Entry(term, EntryKind.MEMBERS, encode(MemberList(members)))
 
 
 def with_learner(members: tuple[Member, ...], joining: Member) -> tuple[Member, ...]:
-    """Return the list with the member as a learner, in place of one of the same name."""
+    """Return the list with the member as a learner, replacing a member of the same id."""
     learner = Member(joining.member_id, joining.identity, joining.address, voting=False)
     return (*without(members, joining.member_id), learner)
 
 
 def with_voter(members: tuple[Member, ...], member_id: str, identity: str) -> tuple[Member, ...]:
-    """Return the list with a learner made a voter under the identity that was caught up."""
+    """Return the list with a learner promoted to voter under the identity that caught up."""
     promoted = []
     for member in members:
         if member.member_id == member_id:
--- a/libs/consensus/tarragonhall_consensus/_messages.py
+++ b/libs/consensus/tarragonhall_consensus/_messages.py
@@ -1,8 +1,8 @@
-"""What members say to each other, and what they keep on disk.
+"""Messages between members, and records stored on disk.
 
-Every message carries the group, the sender's identity and the identity it is meant for. A member
-whose data folder was lost comes back under another identity: nothing meant for the old one
-reaches it, and nothing it says counts for the old one.
+Every message carries the group, the sender's identity and the receiver's identity. A member whose
+data folder was lost returns under a new identity: it ignores messages to the old one, and its
+replies do not count for the old one.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 
 @record
 class Member:
-    """One member of the group. `identity` is drawn anew whenever a data folder is made.
+    """One member of the group. `identity` is generated whenever a data folder is created.
 
-    An empty identity stands for a member that has not been heard yet: a founding member given in
-    settings, or one just added. A member with `voting` false is a learner: it is sent the log and
-    becomes a voter by itself once it has caught up.
+    An empty identity stands for a member that has not reported yet: an initial member from the
+    settings, or one just added. A member with `voting` false is a learner: it receives the log and
+    may be promoted to voter once it has caught up.
     """
 
     member_id: str
@@ -29,7 +29,7 @@
 
 
 class EntryKind(enum.StrEnum):
-    """What an entry of the log is for."""
+    """The kind of a log entry."""
 
     DATA = "data"
     NOOP = "noop"
@@ -38,7 +38,7 @@
 
 @record
 class Entry:
-    """One entry of the log; its index follows from its place. MEMBERS hold a `MemberList`."""
+    """One entry of the log; its position gives its index. MEMBERS entries hold a `MemberList`."""
 
     term: int
     kind: EntryKind
@@ -46,10 +46,10 @@
 
 
 def pack_entries(entries: list[Entry]) -> bytes:
-    """Return the entries as one string of bytes, empty where there are none.
+    """Return the entries encoded as bytes, empty if there are none.
 
-    Entries are nearly all that the log sends. As records each would repeat its field names, and
-    cost several times the processor time.
+    Entries are most of the traffic of the log. Encoded as records, each would repeat its field
+    names and take several times the processor time.
     """
     if not entries:
         return b""
@@ -57,7 +57,7 @@
 
 
 def unpack_entries(packed: bytes) -> list[Entry]:
-    """Return what `pack_entries` has packed; raise `CodecError` for anything else."""
+    """Decode the result of `pack_entries`; raise `CodecError` for anything else."""
     if not packed:
         return []
     try:
@@ -75,7 +75,7 @@
 
 @record
 class Envelope:
-    """Who speaks to whom. `to_identity` is empty only towards a learner not heard yet."""
+    """Sender and receiver. `to_identity` is empty for a receiver that has not reported yet."""
 
     group: str
     from_identity: str
@@ -85,21 +85,21 @@
 
 @record
 class FoundingQuery:
-    """The founder asks whether the peer's folder is new; `group` of the reply is empty if so."""
+    """Bootstrap query whether the peer's folder is new; `group` of the reply is empty if so."""
 
     envelope: Envelope
 
 
 @record
 class FoundingReply:
-    """The answer to `FoundingQuery`; identity and group are in the envelope."""
+    """The reply to `FoundingQuery`; identity and group are in the envelope."""
 
     envelope: Envelope
 
 
 @record
 class VoteRequest:
-    """Ask for a vote in `for_term`; with `pre` only ask whether it would be given."""
+    """Request a vote in `for_term`; with `pre` only query whether it would be granted."""
 
     envelope: Envelope
     pre: bool
@@ -110,7 +110,7 @@
 
 @record
 class VoteReply:
-    """The answer to `VoteRequest` for the same `pre` and `for_term`."""
+    """The reply to a `VoteRequest` with the same `pre` and `for_term`."""
 
     envelope: Envelope
     pre: bool
@@ -120,7 +120,7 @@
 
 @record
 class AppendRequest:
-    """Entries after `previous_index` as `pack_entries` makes them, none in a heartbeat."""
+    """Entries after `previous_index`, encoded by `pack_entries`; none in a heartbeat."""
 
     envelope: Envelope
     round: int
@@ -132,7 +132,7 @@
 
 @record
 class AppendReply:
-    """`index` is the last entry known to match, or the last one that might, after a refusal."""
+    """`index` is the last entry known to match or, if not `accepted`, the last that may match."""
 
     envelope: Envelope
     round: int
@@ -158,7 +158,7 @@
 
 @record
 class SnapshotReply:
-    """The receiver wants the bytes from `offset` next; `done` says that all is stored."""
+    """The receiver needs the bytes from `offset` next; `done` means that all is stored."""
 
     envelope: Envelope
     round: int
@@ -169,7 +169,7 @@
 
 @record
 class OtherIdentity:
-    """The message was meant for an identity that this data folder does not have."""
+    """The message was addressed to an identity that this data folder does not have."""
 
     envelope: Envelope
 
@@ -189,7 +189,7 @@
 
 @record
 class SnapshotMeta:
-    """What a snapshot stands for: the state after `index`, and the membership there."""
+    """Describes a snapshot: the state after `index` and the membership at `index`."""
 
     index: int
     term: int
--- a/libs/consensus/tarragonhall_consensus/_progress.py
+++ b/libs/consensus/tarragonhall_consensus/_progress.py
@@ -1,4 +1,4 @@
-"""What the leader knows of one peer, and what is on its way there."""
+"""The leader's view of one peer, and the messages in flight to it."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class Transfer:
-    """A snapshot on its way. `data` is held until it has arrived; one chunk is out at a time."""
+    """A snapshot being sent. `data` is held until its end; one chunk is in flight at a time."""
 
     meta: SnapshotMeta
     data: bytes
@@ -29,16 +29,16 @@
 
 @dataclass(slots=True)
 class Progress:
-    """One peer as the leader sees it.
+    """The replication state of one peer.
 
-    PROBE: the place where the logs meet is unknown; one message is out at a time.
-    REPLICATE: messages follow one another without waiting, up to a bound.
-    SNAPSHOT: the entries it needs are gone; it is sent a snapshot.
+    PROBE: the last matching index is unknown; one message is in flight at a time.
+    REPLICATE: messages are pipelined up to a limit.
+    SNAPSHOT: the entries that the peer needs are compacted; it is sent a snapshot.
     """
 
-    # The identity that answers, empty until it has; and the one in the member list.
+    # The identity that replies, empty before the first reply; and the one in the member list.
     identity: str
-    listed: str
+    listed_identity: str
     next_index: int
     match_index: int = 0
     mode: Mode = Mode.PROBE
@@ -47,29 +47,29 @@
     is_waiting: bool = False
     sent_at: float = NEVER
     sent_round: int = 0
-    sent_commit: int = 0
+    sent_commit_index: int = 0
     acked_round: int = 0
-    # When the latest message that the peer has answered was sent, on the leader's clock.
+    # Send time, by the leader's clock, of the latest message that the peer has answered.
     contact_at: float = NEVER
     transfer: Transfer | None = None
     is_caught_up: bool = False
-    # The identity under which the peer refuses what is meant for `identity`.
+    # The identity under which the peer rejects messages addressed to `identity`.
     other_identity: str = ""
 
-    def accept(self, index: int) -> None:
-        """Note that the peer's log matches, synced, up to `index`."""
+    def record_match(self, index: int) -> None:
+        """Record that the peer's log matches and is synced up to `index`."""
         if index > self.match_index:
             self.match_index = index
             self.waiting_since = self.sent_at
         self.next_index = max(self.next_index, self.match_index + 1)
         while self.in_flight and self.in_flight[0] <= self.match_index:
             self.in_flight.popleft()
-        # An answer to a heartbeat brings nothing new. Taken for an answer to the entries sent
-        # before it, it would keep lost ones from ever being sent again.
+        # A reply to a heartbeat does not acknowledge entries in flight. If it counted as one, lost
+        # entries would never be sent again.
         self.is_waiting = bool(self.in_flight)
 
     def probe_from(self, index: int) -> None:
-        """Look for the place where the logs meet, from `index` downwards."""
+        """Search for the last matching index, from `index` downwards."""
         self.mode = Mode.PROBE
         self.next_index = max(index, self.match_index + 1)
         self.in_flight.clear()
@@ -77,7 +77,7 @@
         self.transfer = None
 
     def start_transfer(self, transfer: Transfer) -> None:
-        """Send a snapshot instead of entries."""
+        """Switch to sending a snapshot instead of entries."""
         self.mode = Mode.SNAPSHOT
         self.transfer = transfer
         self.in_flight.clear()
--- a/libs/consensus/tarragonhall_consensus/_replica.py
+++ b/libs/consensus/tarragonhall_consensus/_replica.py
@@ -1,15 +1,15 @@
-"""One member of the group: hands each event to the part that owns it, syncs once, then speaks."""
+"""One member of the group: dispatches events to its parts, syncs once, then returns outputs."""
 
 from __future__ import annotations
 
 import random
 import zlib
 
+from tarragonhall_consensus._bootstrap import Bootstrap
 from tarragonhall_consensus._core import Core
 from tarragonhall_consensus._election import Election
 from tarragonhall_consensus._files import Files, disk_files
-from tarragonhall_consensus._following import Following
-from tarragonhall_consensus._founding import Founding
+from tarragonhall_consensus._follower import Follower
 from tarragonhall_consensus._interface import (
     ChangeMember,
     ConfirmRead,
@@ -58,14 +58,14 @@
     files: Files | None = None,
     started_at: float | None = None,
 ) -> Replica:
-    """Open the data folder and return the member in the state it had reached.
+    """Open the data folder and return the member in its stored state.
 
-    `bootstrap` lists the founding members, this one included, with empty identities; it is used
-    only where the folder is new. An empty list makes a member that waits to be added to a group.
-    `started_at` is when this process began, by the clock of `now`; no earlier process used the
-    folder after it. Left out, it is `now`. `rng` must differ at every start: the identity of a new
-    folder comes from it.
-    Raises `StorageError` where the folder cannot be used.
+    `bootstrap` lists the initial members, this one included, with empty identities; it is used only
+    if the folder is new. With an empty list the member waits to be added to a group.
+    `started_at` is the start time of this process on the clock of `now`, after which no earlier
+    process used the folder; it defaults to `now`. `rng` must differ at every start: the identity of
+    a new folder is drawn from it.
+    Raises `StorageError` if the folder cannot be used.
     """
     limits = limits or Limits()
     storage = open_storage(files or disk_files(), folder, member_id, rng, limits.segment_bytes)
@@ -77,15 +77,15 @@
 
 
 class Replica:
-    """One member. Not safe for threads; one loop feeds it."""
+    """One member. Not thread-safe; a single loop calls it."""
 
     __slots__ = (
         "_address",
+        "_bootstrap",
         "_bytes_since_snapshot",
         "_core",
         "_election",
-        "_following",
-        "_founding",
+        "_follower",
         "_snapshot_delay",
         "_snapshot_wanted",
     )
@@ -93,17 +93,17 @@
     def __init__(self, core: Core, bootstrap: list[Member], address: str) -> None:
         self._core = core
         self._election = Election(core)
-        self._following = Following(core)
-        self._founding = Founding(core, bootstrap)
+        self._follower = Follower(core)
+        self._bootstrap = Bootstrap(core, bootstrap)
         self._address = address
         self._snapshot_wanted = False
-        self._snapshot_delay = 1 + core.limits.snapshot_spread * core.rng.random()
+        self._snapshot_delay = 1 + core.limits.snapshot_jitter * core.rng.random()
         self._bytes_since_snapshot = 0
 
     def step(self, events: list[Event], now: float) -> list[Output]:
-        """Handle a batch of events and return what is to be done, after one sync at most.
+        """Handle a batch of events and return the outputs, after at most one sync.
 
-        Raises `StorageError` when the data folder fails. The member must then be stopped: nothing
+        Raises `StorageError` if the data folder fails. The member must then be stopped: no output
         of the step has left it, and every later step raises again.
         """
         core = self._core
@@ -113,7 +113,7 @@
         for event in events:
             self._handle(event)
         self._tick()
-        # Nothing below is promised to anyone before this returns.
+        # No output may depend on data that is not synced.
         core.storage.sync()
         self._advance()
         self._take_snapshot_if_due()
@@ -121,7 +121,7 @@
         return core.outputs
 
     def status(self) -> Status:
-        """Return what operators see."""
+        """Return the status of this member for operators."""
         core = self._core
         return Status(
             member_id=core.member_id,
@@ -135,12 +135,12 @@
             identity=core.identity,
             address=self._address,
             peer_by_id=core.leadership.peer_status() if core.leadership else {},
-            unled_seconds=0.0 if core.leadership else core.now - core.heard_at,
-            leading_seconds=core.leadership.seconds() if core.leadership else 0.0,
+            leaderless_seconds=0.0 if core.leadership else core.now - core.leader_contact_at,
+            leading_seconds=core.leadership.duration_seconds() if core.leadership else 0.0,
         )
 
     def is_leader(self, now: float) -> bool:
-        """Return whether this member leads and its lease has not run out by `now`."""
+        """Return whether this member is the leader and its lease is valid at `now`."""
         leadership = self._core.leadership
         return leadership is not None and leadership.holds_lease(now)
 
@@ -151,7 +151,7 @@
     def _check_majority(self) -> None:
         core = self._core
         if core.leadership is not None and not core.leadership.has_majority():
-            core.follow(core.term, None)
+            core.become_follower(core.term, None)
 
     def _handle(self, event: Event) -> None:
         leadership = self._core.leadership
@@ -170,7 +170,7 @@
             case ProposeData():
                 leadership.propose(event)
             case ConfirmRead():
-                leadership.ask_read(event)
+                leadership.queue_read(event)
             case ChangeMember():
                 leadership.change_member(event)
 
@@ -178,16 +178,16 @@
         core = self._core
         match message:
             case FoundingQuery():
-                self._founding.on_query(peer, message)
+                self._bootstrap.on_query(peer, message)
                 return
             case FoundingReply():
-                self._founding.on_reply(peer, message)
+                self._bootstrap.on_reply(peer, message)
                 return
         if not isinstance(message, Message) or not core.is_from_this_group(message.envelope):
             return
         envelope = message.envelope
         if not core.is_for_this_identity(envelope):
-            self._say_other_identity(peer, message)
+            self._report_other_identity(peer, message)
             return
         match message:
             case VoteRequest():
@@ -195,21 +195,21 @@
                 self._election.on_request(peer, message)
             case AppendRequest():
                 core.join_group(envelope.group)
-                self._following.on_append(peer, message)
+                self._follower.on_append(peer, message)
             case SnapshotChunk():
                 core.join_group(envelope.group)
-                self._following.on_chunk(peer, message)
+                self._follower.on_chunk(peer, message)
             case VoteReply():
                 if self._election.on_reply(peer, message):
-                    core.lead(Leadership(core))
+                    core.become_leader(Leadership(core))
             case OtherIdentity():
                 if core.leadership is not None:
                     core.leadership.on_other_identity(peer, message)
             case AppendReply() | SnapshotReply():
-                self._receive_answer(peer, message)
+                self._receive_leader_reply(peer, message)
 
-    def _say_other_identity(self, peer: str, message: Message) -> None:
-        """Let the leader show operators that this member has lost its folder."""
+    def _report_other_identity(self, peer: str, message: Message) -> None:
+        """Report to the leader, for operators, that this member has lost its folder."""
         if isinstance(message, AppendRequest | SnapshotChunk):
             envelope = Envelope(
                 message.envelope.group,
@@ -219,13 +219,13 @@
             )
             self._core.send(peer, OtherIdentity(envelope))
 
-    def _receive_answer(self, peer: str, reply: AppendReply | SnapshotReply) -> None:
+    def _receive_leader_reply(self, peer: str, reply: AppendReply | SnapshotReply) -> None:
         core = self._core
-        # A removed member must not depose the leader with a term of its own.
+        # A removed member must not depose the leader with a higher term.
         if not core.membership.is_member(peer, reply.envelope.from_identity):
             return
         if reply.envelope.term > core.term:
-            core.follow(reply.envelope.term, None)
+            core.become_follower(reply.envelope.term, None)
             return
         if core.leadership is None or reply.envelope.term < core.term:
             return
@@ -237,14 +237,14 @@
 
     def _tick(self) -> None:
         core = self._core
-        self._founding.tick()
+        self._bootstrap.tick()
         if self._election.tick():
-            core.lead(Leadership(core))
+            core.become_leader(Leadership(core))
         if core.leadership is not None:
             core.leadership.promote_learners()
 
     def _advance(self) -> None:
-        """Commit, apply and answer; what is counted here is synced."""
+        """Commit, apply and answer callers. The entries of this step are synced by now."""
         core = self._core
         leadership = core.leadership
         if leadership is not None:
@@ -252,9 +252,9 @@
         self._apply()
         if leadership is None:
             return
-        leadership.finish()
+        leadership.finish_step()
         if leadership.is_removed():
-            core.follow(core.term, None)
+            core.become_follower(core.term, None)
 
     def _apply(self) -> None:
         core = self._core
@@ -267,7 +267,7 @@
             core.applied_index = index
             self._bytes_since_snapshot += entry_bytes(entry)
             if core.leadership is not None:
-                core.leadership.applied(index, result)
+                core.leadership.report_applied(index, result)
 
     def _take_snapshot_if_due(self) -> None:
         core = self._core
@@ -279,7 +279,7 @@
             return
         term = core.storage.log.term_at(index)
         data = core.machine.snapshot()
-        members = core.membership.at(index)
+        members = core.membership.members_at(index)
         meta = SnapshotMeta(index, term, core.group, members, len(data), zlib.crc32(data))
         core.storage.save_snapshot(meta, data)
         core.storage.compact(
--- a/libs/consensus/tarragonhall_consensus/_segments.py
+++ b/libs/consensus/tarragonhall_consensus/_segments.py
@@ -1,7 +1,7 @@
-"""What the frames of a log segment hold, and how a log is read back from its segments.
+"""Contents of the frames of a log segment, and recovery of a log from its segments.
 
-Each segment starts with a `SegmentStart` that repeats all that earlier segments would have told,
-so that those can be removed once a snapshot covers their entries.
+Each segment starts with a `SegmentStart` that repeats the state left by earlier segments, so that
+those can be removed once a snapshot covers their entries.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class Item(enum.IntEnum):
-    """The kinds of item in a frame; a frame is one batch of items and holds whole or not at all."""
+    """The kinds of item in a frame. A frame is one batch of items and is stored atomically."""
 
     STATE = 1
     ENTRY = 2
@@ -31,7 +31,7 @@
 
 @record
 class HardState:
-    """What a member must not forget: losing a vote would let it vote twice in one term."""
+    """State that must survive a restart: a member that lost it could vote twice in one term."""
 
     term: int = 0
     vote: str = ""
@@ -52,28 +52,28 @@
 
 @dataclass(slots=True)
 class Segment:
-    """A segment file, the end of the log when it was begun, and the lowest entry in it."""
+    """A segment file, the last log index when it was started, and the lowest index in it."""
 
     path: str
     first_sequence: int
     base_index: int
     lowest_index: int = sys.maxsize
 
-    def note(self, index: int) -> None:
-        """Note that the segment holds an entry at `index`."""
+    def include_index(self, index: int) -> None:
+        """Record that the segment holds an entry at `index`."""
         self.lowest_index = min(self.lowest_index, index)
 
 
 @dataclass(slots=True)
 class Replay:
-    """What the segments told."""
+    """The state recovered from the segments read so far."""
 
     start: SegmentStart
     state: HardState
     log: Log
     segments: list[Segment]
     next_sequence: int
-    last_good: bytes
+    last_segment_data: bytes
 
 
 def segment_name(first_sequence: int) -> str:
@@ -82,7 +82,7 @@
 
 
 def sequence_of(name: str) -> int:
-    """Return the sequence that a segment's name tells."""
+    """Return the sequence of the first frame from a segment's file name."""
     digits = name.removesuffix(SEGMENT_SUFFIX)
     if not digits.isdecimal():
         raise StorageError(f"{name}: not a file of this program; move it out of the data folder")
@@ -95,24 +95,24 @@
 
 
 def entry_item(index: int, entry: Entry) -> list:
-    """Return the item that puts an entry at `index` and drops what was there and after it."""
+    """Return the item that writes an entry at `index` and drops existing entries from there on."""
     return [Item.ENTRY, index, entry.term, entry.kind.value, entry.data]
 
 
 def reset_item(index: int, term: int) -> list:
-    """Return the item that drops every entry: a snapshot up to `index` took their place."""
+    """Return the item that drops every entry, replaced by a snapshot up to `index`."""
     return [Item.RESET, index, term]
 
 
 def put_entry(log: Log, index: int, entry: Entry) -> None:
-    """Put an entry at `index`, dropping what was there and after it."""
+    """Write an entry at `index`, dropping existing entries from there on."""
     if index <= log.last_index:
         log.truncate_from(index)
     log.append(entry)
 
 
 class SegmentReader:
-    """Reads segments in order and reports, with its place, all that does not fit."""
+    """Reads segments in order; raises `StorageError` with the location of any inconsistency."""
 
     __slots__ = ("_replay",)
 
@@ -120,7 +120,7 @@
         self._replay: Replay | None = None
 
     def read(self, path: str, sequence: int, data: bytes, last: bool) -> None:
-        """Take in one segment; only the last may have a torn end."""
+        """Read one segment; only the last may have a torn end."""
         replay = self._replay
         if replay is not None and sequence != replay.next_sequence:
             raise StorageError(f"{path}: segment {replay.next_sequence} before it is missing")
@@ -135,18 +135,18 @@
         for payload in found.payloads[1:]:
             self._apply_batch(path, payload)
         replay.next_sequence = sequence + len(found.payloads)
-        replay.last_good = data[: found.good_bytes]
+        replay.last_segment_data = data[: found.good_bytes]
 
     def result(self) -> Replay | None:
-        """Return what was read, None where there was no segment."""
+        """Return the recovered state, None if there was no segment."""
         return self._replay
 
     def _check(self, path: str, found: Scan, last: bool) -> None:
         if found.bad_at is None:
             return
-        # Cutting here would throw away entries that this member has acknowledged. The group may
-        # have committed them on the strength of that, and would lose them without a word.
-        if found.followed or not last or not found.payloads:
+        # Truncating here would drop entries that this member has acknowledged. The group may have
+        # committed them because of that, and would lose them silently.
+        if found.has_later_frame or not last or not found.payloads:
             raise StorageError(
                 f"{path}: corrupt at byte {found.bad_at}; the member must be replaced"
             )
@@ -165,7 +165,7 @@
                 case [Item.ENTRY, index, term, kind, data]:
                     if not replay.log.base_index < index <= replay.log.last_index + 1:
                         raise StorageError(f"{path}: entry {index} does not follow the one before")
-                    replay.segments[-1].note(index)
+                    replay.segments[-1].include_index(index)
                     put_entry(replay.log, index, Entry(term, EntryKind(kind), data))
                 case [Item.RESET, index, term]:
                     replay.log.reset(index, term)
@@ -178,7 +178,7 @@
 def _segment_start(path: str, found: Scan) -> SegmentStart:
     plain = cbor2.loads(found.payloads[0]) if found.payloads else None
     if not isinstance(plain, list) or plain[0] != "SegmentStart":
-        raise StorageError(f"{path}: has no start; the member must be replaced")
+        raise StorageError(f"{path}: the segment start is missing; the member must be replaced")
     if plain[1]["format_version"] != FORMAT_VERSION:
         raise StorageError(
             f"{path}: format version {plain[1]['format_version']}, "
--- a/libs/consensus/tarragonhall_consensus/_snapshots.py
+++ b/libs/consensus/tarragonhall_consensus/_snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshot files: written aside, synced, renamed; the newest is the only one kept."""
+"""Snapshot files: written to a temporary file, synced and renamed; only the newest is retained."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from tarragonhall_consensus._messages import SnapshotMeta
 
 SNAPSHOT_SUFFIX = ".snapshot"
-ASIDE_SUFFIX = ".tmp"
-PART_BYTES = 256 * 1024
+TEMPORARY_SUFFIX = ".tmp"
+SNAPSHOT_FRAME_BYTES = 256 * 1024
 
 
 class SnapshotStore:
@@ -25,29 +25,29 @@
         self._folder = folder
 
     def save(self, meta: SnapshotMeta, data: bytes) -> None:
-        """Store a snapshot so that a crash leaves either the old one or the whole new one."""
+        """Store a snapshot; a crash leaves either the old one or the complete new one."""
         path = self._path(meta.index)
-        file = self._files.create(path + ASIDE_SUFFIX)
+        file = self._files.create(path + TEMPORARY_SUFFIX)
         try:
             file.write(frame(1, encode(meta)))
-            for number, start in enumerate(range(0, len(data), PART_BYTES), 2):
-                file.write(frame(number, data[start : start + PART_BYTES]))
+            for number, start in enumerate(range(0, len(data), SNAPSHOT_FRAME_BYTES), 2):
+                file.write(frame(number, data[start : start + SNAPSHOT_FRAME_BYTES]))
             file.sync()
         finally:
             file.close()
-        self._files.rename(path + ASIDE_SUFFIX, path)
+        self._files.rename(path + TEMPORARY_SUFFIX, path)
         self._files.sync_folder(self._folder)
         for name in self._names()[:-1]:
             self._files.remove(f"{self._folder}/{name}")
 
     def load(self) -> tuple[SnapshotMeta, bytes] | None:
-        """Return the newest snapshot, None where there is none."""
+        """Return the newest snapshot, None if there is none."""
         names = self._names()
         if not names:
             return None
         path = f"{self._folder}/{names[-1]}"
         found = scan(self._files.read(path), 1)
-        # An older snapshot would not do: the log that led from it to this one is gone.
+        # An older snapshot is no substitute: the log entries between the two are compacted.
         if found.bad_at is not None or not found.payloads:
             raise StorageError(f"{path}: corrupt; the member must be replaced")
         try:
--- a/libs/consensus/tarragonhall_consensus/_storage.py
+++ b/libs/consensus/tarragonhall_consensus/_storage.py
@@ -1,7 +1,7 @@
-"""Synced storage of one member: hard state, log and snapshot under one data folder.
+"""Durable storage of one member: hard state, log and snapshot in one data folder.
 
-Changes gather in a batch that `sync` writes as one frame with one sync. Nothing that depends on
-them may leave the member before `sync` has returned.
+Changes are collected in a batch that `sync` writes as one frame with one sync. No message that
+depends on them may leave the member before `sync` has returned.
 """
 
 from __future__ import annotations
@@ -30,14 +30,15 @@
     sequence_of,
     state_item,
 )
-from tarragonhall_consensus._snapshots import ASIDE_SUFFIX, SnapshotStore
+from tarragonhall_consensus._snapshots import TEMPORARY_SUFFIX, SnapshotStore
 
 LOCK_NAME = "lock"
-# It only has to differ from the earlier identities of one member, and is in every heartbeat twice.
+# An identity only has to differ from earlier ones of the same member. It is kept short because
+# every heartbeat carries two.
 IDENTITY_BITS = 48
 
 
-def draw_identity(rng: random.Random) -> str:
+def generate_identity(rng: random.Random) -> str:
     """Return a new identity for a data folder or a group."""
     return f"{rng.getrandbits(IDENTITY_BITS):012x}"
 
@@ -45,7 +46,7 @@
 def open_storage(
     files: Files, folder: str, member_id: str, rng: random.Random, segment_bytes: int
 ) -> Storage:
-    """Open the data folder, or make a new one under a new identity."""
+    """Open the data folder, or create it with a new identity."""
     files.make_folder(folder)
     lock = files.lock(f"{folder}/{LOCK_NAME}")
     try:
@@ -58,7 +59,7 @@
 
 
 class Storage:
-    """The data folder of one member. After a `StorageError` it refuses everything."""
+    """The data folder of one member. After a `StorageError` every write fails."""
 
     __slots__ = (
         "_batch",
@@ -100,31 +101,31 @@
         self.snapshot_data = b""
 
     def save_state(self, term: int, vote: str, group: str) -> None:
-        """Set term, vote and group with the next sync."""
+        """Set term, vote and group; stored by the next sync."""
         self.state = HardState(term, vote, group)
         self._batch.append(state_item(self.state))
 
     def append(self, entry: Entry) -> int:
-        """Put an entry at the end of the log with the next sync and return its index."""
+        """Append an entry, stored by the next sync, and return its index."""
         index = self.log.last_index + 1
         self.put(index, entry)
         return index
 
     def put(self, index: int, entry: Entry) -> None:
-        """Put an entry at `index` with the next sync, dropping what was there and after it."""
+        """Write an entry at `index`, dropping existing ones from there on; stored by next sync."""
         put_entry(self.log, index, entry)
-        self._segments[-1].note(index)
+        self._segments[-1].include_index(index)
         self._batch.append(entry_item(index, entry))
 
     def sync(self) -> None:
-        """Make the batch last; does nothing where it is empty."""
+        """Write and sync the batch; does nothing if it is empty."""
         self._check()
         if not self._batch:
             return
         data = frame(self._next_sequence, cbor2.dumps(self._batch))
         self._batch = []
-        # After a failed sync the system may drop the pages and report success the next time.
-        # The bytes would be missing and nobody would notice, so there is no next time.
+        # After a failed sync the system may drop the pages and report success the next time, and
+        # the missing bytes would go unnoticed. So a failed sync is never retried.
         self._failed = True
         self._file.write(data)
         self._file.sync()
@@ -133,50 +134,50 @@
         self._next_sequence += 1
         self._written_bytes += len(data)
         if self._written_bytes >= self._segment_bytes:
-            self._roll()
+            self._start_segment()
 
     def save_snapshot(self, meta: SnapshotMeta, data: bytes) -> None:
-        """Store a snapshot. Where the log does not lead to it, the log starts anew after it."""
+        """Store a snapshot. If the log does not contain its last entry, reset the log to it."""
         self.sync()
         self._failed = True
         self._snapshots.save(meta, data)
         self._failed = False
         self.snapshot = meta
-        self._fit_log_to_snapshot()
+        self._align_log_with_snapshot()
         self.sync()
 
     def compact(self, index: int) -> None:
-        """Forget entries up to `index`, and remove the segments that hold only such."""
+        """Drop entries up to `index`, and remove the segments that hold no others."""
         self._check()
         self.log.compact(min(index, self.log.last_index))
-        for _ in range(self._removable(index)):
+        for _ in range(self._removable_segments(index)):
             self._failed = True
             self._files.remove(self._segments.pop(0).path)
-            # Removals may reach the disk in any order. A segment gone while one before it is
-            # still there would look like a lost segment at the next start.
+            # Removals may reach the disk in any order. If an earlier segment outlived a later one,
+            # the next start would report a missing segment.
             self._files.sync_folder(self._folder)
             self._failed = False
 
     def load_snapshot(self) -> bytes:
-        """Read the newest snapshot's bytes again."""
+        """Read the data of the newest snapshot from disk."""
         found = self._snapshots.load()
         if found is None:
-            raise StorageError(f"{self._folder}: the snapshot is gone")
+            raise StorageError(f"{self._folder}: the snapshot is missing")
         return found[1]
 
     def close(self) -> None:
-        """Release the folder; what was not synced is lost."""
+        """Release the folder; unsynced changes are lost."""
         self._failed = True
         if self._file is not None:
             self._file.close()
         self._lock.close()
 
-    def _removable(self, index: int) -> int:
+    def _removable_segments(self, index: int) -> int:
         """Return how many of the first segments are not needed to read the log after `index`.
 
-        A log can be read from a segment's start only if nothing later goes back behind it. Entries
-        that a leader replaced do: the segment then begins at an end of the log that was dropped.
-        The member could not start again.
+        A log can be read from the start of a segment only if no later segment writes an index at or
+        before it. Entries that a leader replaced do so: the segment then starts at entries that
+        were dropped, and the member could not start again.
         """
         lowest_index = sys.maxsize
         for number in range(len(self._segments) - 1, 0, -1):
@@ -191,7 +192,7 @@
             raise StorageError(f"{self._folder}: storage has failed or was closed; restart")
 
     def _recover(self, member_id: str, rng: random.Random) -> None:
-        self._remove_leftovers()
+        self._remove_temporary_files()
         self.member_id = member_id
         found = self._snapshots.load()
         reader = SegmentReader()
@@ -203,9 +204,9 @@
         replay = reader.result()
         if replay is None:
             if found is not None:
-                raise StorageError(f"{self._folder}: a snapshot but no log; replace the member")
-            self.identity = draw_identity(rng)
-            self._roll()
+                raise StorageError(f"{self._folder}: has a snapshot but no log; replace the member")
+            self.identity = generate_identity(rng)
+            self._start_segment()
             return
         if replay.start.member_id != member_id:
             raise StorageError(
@@ -216,15 +217,15 @@
         self.state = replay.state
         self._segments = replay.segments
         self._next_sequence = replay.next_sequence
-        self._write_anew(replay.segments[-1].path, replay.last_good)
+        self._rewrite_segment(replay.segments[-1].path, replay.last_segment_data)
         if found is not None:
             self.snapshot, self.snapshot_data = found
-            self._fit_log_to_snapshot()
+            self._align_log_with_snapshot()
             self.sync()
         elif self.log.base_index > 0:
             raise StorageError(f"{self._folder}: the snapshot is missing; replace the member")
 
-    def _fit_log_to_snapshot(self) -> None:
+    def _align_log_with_snapshot(self) -> None:
         meta = self.snapshot
         if self.log.base_index > meta.index:
             raise StorageError(f"{self._folder}: entries after {meta.index} are missing")
@@ -233,18 +234,18 @@
         self.log.reset(meta.index, meta.term)
         self._batch.append(reset_item(meta.index, meta.term))
 
-    def _write_anew(self, path: str, good: bytes) -> None:
-        """Write the last segment again without its torn end and go on appending to the copy.
+    def _rewrite_segment(self, path: str, good: bytes) -> None:
+        """Rewrite the last segment without its torn end and continue appending to the copy.
 
-        What was read may never have reached the disk: the process may have died before its sync,
-        or the sync may have failed. Such bytes would vanish in the next power cut after this
-        member had acted on them. A copy that is synced before use cannot.
+        The bytes read may not be on disk: the process may have died before its sync, or the sync
+        may have failed. The next power cut could lose them after this member has acted on them. A
+        copy that is synced before use cannot be lost.
         """
         self._file = self._create(path, good)
         self._written_bytes = len(good)
 
-    def _roll(self) -> None:
-        """Begin a new segment. The one before it is synced to its end."""
+    def _start_segment(self) -> None:
+        """Start a new segment. The previous one is fully synced."""
         state = self.state
         base_index, base_term = self.log.last_index, self.log.last_term
         start = SegmentStart(
@@ -262,19 +263,19 @@
         self._written_bytes = len(data)
 
     def _create(self, path: str, data: bytes) -> AppendFile:
-        """Make a synced file that has its name only once it is whole."""
-        file = self._files.create(path + ASIDE_SUFFIX)
+        """Create a synced file that gets its final name only when complete."""
+        file = self._files.create(path + TEMPORARY_SUFFIX)
         try:
             file.write(data)
             file.sync()
-            self._files.rename(path + ASIDE_SUFFIX, path)
+            self._files.rename(path + TEMPORARY_SUFFIX, path)
             self._files.sync_folder(self._folder)
         except BaseException:
             file.close()
             raise
         return file
 
-    def _remove_leftovers(self) -> None:
+    def _remove_temporary_files(self) -> None:
         for name in self._files.names(self._folder):
-            if name.endswith(ASIDE_SUFFIX):
+            if name.endswith(TEMPORARY_SUFFIX):
                 self._files.remove(f"{self._folder}/{name}")
--- a/libs/consensus/tests/conftest.py
+++ b/libs/consensus/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Make the helpers beside the tests importable."""
+"""Makes the helper modules in this folder importable."""
 
 from __future__ import annotations
 
--- a/libs/consensus/tests/consensus_cluster.py
+++ b/libs/consensus/tests/consensus_cluster.py
@@ -1,4 +1,4 @@
-"""A few members in one process, with a network, clocks and disks that do what a test wants."""
+"""A cluster of members in one process, with a simulated network, clocks and disks."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class Journal:
-    """A machine that keeps every entry and tells how many there were."""
+    """A state machine that stores every entry and returns their number."""
 
     def __init__(self) -> None:
         self.entries: list[bytes] = []
@@ -50,11 +50,11 @@
 
 @dataclass(slots=True)
 class Node:
-    """One member: its disk lasts, its replica comes and goes."""
+    """One member: its disk persists, its replica is restarted."""
 
     member: Member
     disk: Disk
-    founders: list[Member]
+    bootstrap: list[Member]
     replica: object = None
     machine: Journal = field(default_factory=Journal)
     inbox: list = field(default_factory=list)
@@ -63,7 +63,7 @@
 
 
 class Cluster:
-    """Runs the members step by step and checks the log's promises after each step."""
+    """Runs the members step by step and checks the invariants of the log after each step."""
 
     def __init__(self, count: int, seed: int = 0, limits: Limits = SMALL) -> None:
         self.rng = random.Random(seed)
@@ -79,18 +79,18 @@
         self.sent: list = []
         self.tokens = 0
         self.leader_by_term: dict[int, str] = {}
-        self.entry_by_place: dict[tuple[int, int], tuple] = {}
+        self.entry_by_index_and_term: dict[tuple[int, int], tuple] = {}
         self.committed: dict[int, object] = {}
         self.acknowledged: dict[int, bytes] = {}
         self.data_by_token: dict[int, bytes] = {}
         self.value_by_token: dict[int, bytes] = {}
-        founders = [Member(f"m{number}", "", f"a{number}") for number in range(count)]
-        self.node_by_id = {f.member_id: self._node(f, founders) for f in founders}
+        bootstrap = [Member(f"m{number}", "", f"a{number}") for number in range(count)]
+        self.node_by_id = {m.member_id: self._node(m, bootstrap) for m in bootstrap}
         for member_id in self.node_by_id:
             self.start(member_id)
 
-    def _node(self, member: Member, founders: list[Member]) -> Node:
-        return Node(member, Disk(self.rng), founders)
+    def _node(self, member: Member, bootstrap: list[Member]) -> Node:
+        return Node(member, Disk(self.rng), bootstrap)
 
     def add_node(self, member_id: str) -> Node:
         """Start a member that waits to be added."""
@@ -99,23 +99,23 @@
         return node
 
     def start(self, member_id: str, loading_s: float = 0.0) -> None:
-        """Start or restart a member on its disk; its process began `loading_s` ago."""
+        """Start or restart a member on its disk; its process started `loading_s` ago."""
         node = self.node_by_id[member_id]
         node.machine = Journal()
         node.failure = None
         rng = random.Random(self.rng.random())
         try:
             node.replica = open_replica(
-                "data", member_id, node.member.address, node.founders, node.machine, rng,
+                "data", member_id, node.member.address, node.bootstrap, node.machine, rng,
                 self.now, self.limits, node.disk, self.now - loading_s,
             )  # fmt: skip
         except PowerCut:
             node.disk.cut_power()
         except StorageError as error:
-            self._fail(node, error)
+            self._record_failure(node, error)
 
     def kill(self, member_id: str, power: bool = False, wipe: bool = False) -> None:
-        """End a member's process; with `power` lose what was not synced, with `wipe` all."""
+        """End a member's process; `power` also drops unsynced data, `wipe` all data."""
         node = self.node_by_id[member_id]
         node.replica = None
         node.inbox.clear()
@@ -127,16 +127,16 @@
             node.disk.kill()
 
     def wipe(self, member_id: str) -> None:
-        """Lose a member's data folder and start it on a new one."""
+        """Delete a member's data folder and start the member on a new one."""
         self.kill(member_id, wipe=True)
         self.start(member_id)
 
     def pause(self, member_id: str, seconds: float) -> None:
-        """Let a member's process do nothing for a while; its clock goes on."""
+        """Pause a member's process for some seconds; its clock continues."""
         self.node_by_id[member_id].paused_until = self.now + seconds
 
     def cut(self, sources: str | list[str], targets: str | list[str], both: bool = False) -> None:
-        """Drop what the sources send to the targets."""
+        """Drop messages from the sources to the targets."""
         sources = [sources] if isinstance(sources, str) else sources
         targets = [targets] if isinstance(targets, str) else targets
         for source in sources:
@@ -146,17 +146,17 @@
                     self.cuts.add((target, source))
 
     def isolate(self, member_id: str) -> None:
-        """Drop all that the member sends and is sent."""
+        """Drop all messages to and from the member."""
         self.cut(member_id, [other for other in self.node_by_id if other != member_id], both=True)
 
     def heal(self) -> None:
-        """Let the network deliver everything again."""
+        """Remove all network faults."""
         self.cuts.clear()
         self.is_dropped = lambda target, message: False
         self.loss = self.duplicates = self.jitter = 0.0
 
-    def give(self, member_id: str, *events: object) -> list:
-        """Hand events to a member in one step and return its outputs."""
+    def step(self, member_id: str, *events: object) -> list:
+        """Run one step of a member with the events and return its outputs."""
         node = self.node_by_id[member_id]
         if node.replica is None:
             return []
@@ -168,14 +168,14 @@
         except StorageError as error:
             node.replica.close()
             self.kill(member_id)
-            self._fail(node, error)
+            self._record_failure(node, error)
             return []
         self._handle(member_id, outputs)
         self._check(member_id)
         return outputs
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the time, with a step of every member each `STEP_SECONDS`."""
         end = self.now + seconds
         while self.now < end:
             self.now = round(self.now + STEP_SECONDS, 6)
@@ -184,20 +184,20 @@
                 if node.paused_until > self.now:
                     continue
                 inbox, node.inbox = node.inbox, []
-                self.give(member_id, *inbox, Tick())
+                self.step(member_id, *inbox, Tick())
             self.check_leases()
 
     def check_leases(self) -> None:
-        """Check that no two members may act as leader at one time, paused ones included."""
+        """Check that at most one member, paused ones included, holds a lease."""
         holders = [
             member_id
             for member_id, node in self.node_by_id.items()
             if node.replica is not None and node.replica.is_leader(self.now)
         ]
-        assert len(holders) <= 1, f"{holders} hold the lease together"
+        assert len(holders) <= 1, f"{holders} hold a lease at the same time"
 
     def deliver(self) -> None:
-        """Hand over messages, and those sent in answer, until only late ones are left."""
+        """Deliver due messages, and the replies to them, until only later ones are left."""
         while True:
             due = [item for item in self.in_flight if item[0] <= self.now]
             if not due:
@@ -211,17 +211,17 @@
                 if node.paused_until > self.now:
                     node.inbox.append(Received(source, message))
                 else:
-                    self.give(target, Received(source, message))
+                    self.step(target, Received(source, message))
 
     def run_until(self, condition, seconds: float = 20.0) -> None:
-        """Let time pass until the condition holds; fail where it never does."""
+        """Advance the time until the condition holds; fail if it does not in `seconds`."""
         end = self.now + seconds
         while not condition():
-            assert self.now < end, "waited in vain"
+            assert self.now < end, "the condition did not hold in time"
             self.run(STEP_SECONDS)
 
     def leader(self) -> str | None:
-        """Return the member that may act as leader right now."""
+        """Return the running member that is leader with a valid lease, None if there is none."""
         for member_id, node in self.node_by_id.items():
             paused = node.paused_until > self.now
             if node.replica is not None and not paused and node.replica.is_leader(self.now):
@@ -229,7 +229,7 @@
         return None
 
     def await_leader(self, without: str = "") -> str:
-        """Let time pass until there is a leader other than `without`."""
+        """Advance the time until there is a leader other than `without`; return it."""
         self.run_until(lambda: self.leader() not in (None, without))
         return self.leader()
 
@@ -242,19 +242,19 @@
         """Propose data at the leader, or at the member; return the token."""
         self.tokens += 1
         self.data_by_token[self.tokens] = data
-        self.give(member_id or self.await_leader(), ProposeData(self.tokens, data))
+        self.step(member_id or self.await_leader(), ProposeData(self.tokens, data))
         return self.tokens
 
     def commit(self, data: bytes) -> None:
         """Propose until the data is committed."""
         token = self.propose(data)
-        self.run_until(lambda: self.ended(token))
-        assert self.ended(token) == "done"
+        self.run_until(lambda: self.outcome(token))
+        assert self.outcome(token) == "done"
 
     def change(self, **change) -> int:
         """Ask the leader for a member change; return the token."""
         self.tokens += 1
-        self.give(self.await_leader(), ChangeMember(self.tokens, **change))
+        self.step(self.await_leader(), ChangeMember(self.tokens, **change))
         return self.tokens
 
     def replace(self, member_id: str) -> int:
@@ -264,11 +264,11 @@
     def read(self, member_id: str) -> int:
         """Ask a member to confirm a read; return the token."""
         self.tokens += 1
-        self.give(member_id, ConfirmRead(self.tokens))
+        self.step(member_id, ConfirmRead(self.tokens))
         return self.tokens
 
-    def ended(self, token: int) -> str:
-        """Return how a proposal or read ended, empty where it has not."""
+    def outcome(self, token: int) -> str:
+        """Return "done", "refused" or "lost" for a proposal or read, empty while it is pending."""
         for _, output in self.outputs:
             if isinstance(output, SendTo) or getattr(output, "token", None) != token:
                 continue
@@ -278,26 +278,26 @@
             return "refused" if refused else "lost"
         return ""
 
-    def mend(self) -> None:
-        """Mend the network and start every member again."""
+    def restore_all(self) -> None:
+        """Remove all faults and start every stopped member."""
         self.heal()
         for member_id, node in self.node_by_id.items():
             node.paused_until = 0.0
-            node.disk.cut_at = None
+            node.disk.power_cut_at = None
             if node.replica is None:
                 self.start(member_id)
 
-    def settle(self) -> None:
-        """Mend everything, and check that the members agree and nothing acknowledged is lost."""
-        self.mend()
+    def check_convergence(self) -> None:
+        """Remove all faults; check that the members agree and have all acknowledged entries."""
+        self.restore_all()
         self.commit(b"last %d" % self.tokens)
-        self.run_until(self._agree)
+        self.run_until(self._members_agree)
         entries = self.node_by_id[self.leader()].machine.entries
         for data in self.acknowledged.values():
             count = entries.count(data)
-            assert count == 1, f"{data!r} was acknowledged and is there {count} times"
+            assert count == 1, f"{data!r} was acknowledged and is present {count} times"
 
-    def _agree(self) -> bool:
+    def _members_agree(self) -> bool:
         leader = self.leader()
         if leader is None:
             return False
@@ -311,8 +311,8 @@
                 return False
         return True
 
-    def _fail(self, node: Node, error: StorageError) -> None:
-        """Note a failure that the disk was told to have; any other is a fault of the log."""
+    def _record_failure(self, node: Node, error: StorageError) -> None:
+        """Record an injected disk failure; raise any other error."""
         if str(error) not in ("sync failed", "disk full"):
             raise error
         node.failure = error
@@ -342,7 +342,7 @@
             self.sent.append((source, target, message))
 
     def _check(self, member_id: str) -> None:
-        """Check election safety, log matching and that committed entries stay."""
+        """Check election safety, log matching and the persistence of committed entries."""
         node = self.node_by_id[member_id]
         if node.replica is None:
             return
@@ -353,14 +353,14 @@
         log = core.storage.log
         for index in range(max(log.base_index + 1, log.last_index - 3), log.last_index + 1):
             entry = log.entry(index)
-            place = (log.term_at(index - 1), entry)
-            known = self.entry_by_place.setdefault((index, entry.term), place)
-            assert known == place, f"logs differ at {index} in term {entry.term}"
+            preceding = (log.term_at(index - 1), entry)
+            known = self.entry_by_index_and_term.setdefault((index, entry.term), preceding)
+            assert known == preceding, f"logs differ at {index} in term {entry.term}"
         for index in range(max(log.base_index, core.commit_index - 3) + 1, core.commit_index + 1):
             known = self.committed.setdefault(index, log.entry(index))
             assert known == log.entry(index), f"the committed entry {index} was replaced"
 
 
 def carries_entries(message):
-    """Return whether a message brings a peer entries."""
+    """Return whether a message carries entries or a part of a snapshot."""
     return bool(getattr(message, "entries", ())) or isinstance(message, SnapshotChunk)
--- a/libs/consensus/tests/history_tests.py
+++ b/libs/consensus/tests/history_tests.py
@@ -1,7 +1,7 @@
-"""Random failures over three and five members, against the promises of the log.
+"""Random failures of three and five members, checked against the guarantees of the log.
 
 The cluster checks election safety, log matching and committed entries after every step. The
-history of a register kept in the log is checked for linearizability.
+history of a register stored in the log is checked for linearizability.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class Operation:
-    """A write of `value`, or a read that returned it; times count the cluster's steps."""
+    """A write of `value`, or a read that returned it; times are logical."""
 
     write: bool
     value: bytes
@@ -29,13 +29,13 @@
 
 
 def is_linearizable(operations: list[Operation]) -> bool:
-    """Return whether some order of the operations explains what each returned.
+    """Return whether some sequential order of the operations is consistent with all results.
 
-    Each write has a value of its own, so in such an order a write and the reads of its value stand
-    together as one block. Block X must stand before block Y if anything of X ended before anything
-    of Y began. An order exists unless two blocks must each stand before the other: in a longer ring
-    of blocks, the one with the earliest end and the one before it are such a pair. Writes that
-    never ended may have happened or not; unread, they explain nothing and are left out.
+    Each write has a distinct value, so in such an order a write and the reads of its value form one
+    contiguous block. Block X must precede block Y if any operation of X ended before any of Y
+    began. An order exists unless two blocks must each precede the other: in a longer cycle of
+    blocks, the one with the earliest end and its predecessor are such a pair. Writes that never
+    ended may or may not have happened; without a read of their value they are ignored.
     """
     block_by_value = {NO_WRITE: [Operation(True, NO_WRITE, -1, -1)]}
     for operation in operations:
@@ -56,7 +56,7 @@
     return True
 
 
-def test_the_checker_tells_good_histories_from_bad():
+def test_the_checker_tells_valid_from_invalid_histories():
     write = Operation(True, b"1", 0, 5)
     assert is_linearizable([write, Operation(False, NO_WRITE, 1, 2), Operation(False, b"1", 3, 4)])
     assert not is_linearizable([write, Operation(False, NO_WRITE, 6, 7)])
@@ -106,46 +106,46 @@
 
 
 class Register:
-    """Keeps the history of one register in the log of a cluster."""
+    """Records the history of one register in the log of a cluster."""
 
     def __init__(self, cluster: Cluster) -> None:
         self.cluster = cluster
         self.operations: list[Operation] = []
-        self._waiting: dict[int, Operation] = {}
+        self._operation_by_token: dict[int, Operation] = {}
         self._time = 0
-        self._seen = 0
+        self._seen_outputs = 0
 
     def write(self, member_id: str) -> None:
         value = b"w%d" % self._time
         operation = self._begin(Operation(True, value, 0))
         token = self.cluster.tokens + 1
-        self._waiting[token] = operation
+        self._operation_by_token[token] = operation
         self.cluster.propose(value, member_id)
         self.observe()
 
     def read(self, member_id: str) -> None:
         operation = self._begin(Operation(False, NO_WRITE, 0))
         token = self.cluster.tokens + 1
-        self._waiting[token] = operation
+        self._operation_by_token[token] = operation
         self.cluster.read(member_id)
         self.observe()
 
     def observe(self) -> None:
-        """Note what has ended since the last call. Reads take the state right when confirmed."""
+        """Record operations that ended since the last call; a read returns the state on confirm."""
         self._time += 1
         cluster = self.cluster
-        for _member_id, output in cluster.outputs[self._seen :]:
-            operation = self._waiting.pop(getattr(output, "token", 0), None)
+        for _member_id, output in cluster.outputs[self._seen_outputs :]:
+            operation = self._operation_by_token.pop(getattr(output, "token", 0), None)
             if operation is None:
                 continue
-            outcome = cluster.ended(output.token)
+            outcome = cluster.outcome(output.token)
             if outcome == "done":
                 operation.ended = self._time
                 if not operation.write:
                     operation.value = cluster.value_by_token[output.token]
             elif not operation.write or outcome == "refused":
                 self.operations.remove(operation)
-        self._seen = len(cluster.outputs)
+        self._seen_outputs = len(cluster.outputs)
 
     def check(self) -> None:
         done = [op for op in self.operations if op.write or op.ended < float("inf")]
@@ -160,11 +160,11 @@
 
 members = st.integers(0, 4)
 # In steps of 0.05 s; an election takes 20 to 40.
-a_while = st.integers(0, 50)
+step_counts = st.integers(0, 50)
 
 
 class Failures(RuleBasedStateMachine):
-    """Does to a cluster what the world does, while callers write and read a register."""
+    """Injects faults into a cluster while callers write and read a register."""
 
     count = 3
 
@@ -173,10 +173,10 @@
         self.cluster = Cluster(self.count)
         self.register = Register(self.cluster)
         self.wiped: set[str] = set()
-        self.work(80)
+        self.run_calls(80)
 
-    def work(self, steps: int) -> None:
-        """Let time pass; now and then somebody calls a member that believes that it leads."""
+    def run_calls(self, steps: int) -> None:
+        """Advance the time; at random, call members that have the leader role."""
         cluster = self.cluster
         for _ in range(steps):
             cluster.run(0.05)
@@ -189,81 +189,81 @@
                 call(member_id)
 
     def member(self, number: int) -> str:
-        """Return a member; the leader for the highest number, so that it is struck often."""
+        """Return a member; the leader for the highest number, so that it often gets the fault."""
         leader = self.cluster.leader()
         if number == 4 and leader is not None:
             return leader
         return list(self.cluster.node_by_id)[number % self.count]
 
-    @rule(steps=a_while)
+    @rule(steps=step_counts)
     def time_passes(self, steps):
-        self.work(steps)
+        self.run_calls(steps)
 
-    @rule(steps=a_while)
+    @rule(steps=step_counts)
     def all_recover(self, steps):
-        self.cluster.mend()
-        self.work(60 + steps)
+        self.cluster.restore_all()
+        self.run_calls(60 + steps)
 
-    @rule(sender=members, receiver=members, both=st.booleans(), steps=a_while)
+    @rule(sender=members, receiver=members, both=st.booleans(), steps=step_counts)
     def cut(self, sender, receiver, both, steps):
         self.cluster.cut(self.member(sender), self.member(receiver), both)
-        self.work(steps)
+        self.run_calls(steps)
 
-    @rule(number=members, steps=a_while)
+    @rule(number=members, steps=step_counts)
     def isolate(self, number, steps):
         self.cluster.isolate(self.member(number))
-        self.work(steps)
+        self.run_calls(steps)
 
-    @rule(number=members, steps=a_while)
+    @rule(number=members, steps=step_counts)
     def swap_the_isolated(self, number, steps):
         self.cluster.heal()
         self.cluster.isolate(self.member(number))
-        self.work(steps)
+        self.run_calls(steps)
 
     @rule(loss=st.sampled_from([0, 0.2]), twice=st.sampled_from([0, 0.3]), jitter=st.floats(0, 0.3))
     def worsen(self, loss, twice, jitter):
         self.cluster.loss, self.cluster.duplicates, self.cluster.jitter = loss, twice, jitter
 
-    @rule(number=members, steps=st.integers(1, 100), then=a_while)
+    @rule(number=members, steps=st.integers(1, 100), then=step_counts)
     def pause(self, number, steps, then):
         self.cluster.pause(self.member(number), steps * 0.05)
-        self.work(then)
+        self.run_calls(then)
 
-    @rule(number=members, power=st.booleans(), steps=a_while)
+    @rule(number=members, power=st.booleans(), steps=step_counts)
     def crash(self, number, power, steps):
         self.cluster.kill(self.member(number), power=power)
-        self.work(steps)
+        self.run_calls(steps)
 
-    @rule(number=members, power=st.booleans(), steps=a_while)
+    @rule(number=members, power=st.booleans(), steps=step_counts)
     def crash_and_restart(self, number, power, steps):
         target = self.member(number)
         self.cluster.kill(target, power=power)
         self.cluster.start(target)
-        self.work(steps)
+        self.run_calls(steps)
 
-    @rule(number=members, calls=st.integers(1, 12), steps=a_while)
+    @rule(number=members, calls=st.integers(1, 12), steps=step_counts)
     def crash_between_storage_steps(self, number, calls, steps):
         disk = self.cluster.node_by_id[self.member(number)].disk
-        disk.cut_at = disk.steps + calls
-        self.work(steps)
+        disk.power_cut_at = disk.call_count + calls
+        self.run_calls(steps)
 
-    @rule(number=members, steps=a_while)
+    @rule(number=members, steps=step_counts)
     def fail_a_sync(self, number, steps):
         self.cluster.node_by_id[self.member(number)].disk.fail_syncs = 1
-        self.work(steps)
+        self.run_calls(steps)
 
     @precondition(lambda self: len(self.wiped) < (self.count - 1) // 2)
-    @rule(number=members, steps=a_while)
+    @rule(number=members, steps=step_counts)
     def wipe(self, number, steps):
         target = self.member(number)
         self.wiped.add(target)
         self.cluster.wipe(target)
-        self.work(steps)
+        self.run_calls(steps)
 
     @precondition(lambda self: self.wiped)
-    @rule(steps=a_while)
+    @rule(steps=step_counts)
     def replace(self, steps):
-        """Replace the emptied member; it counts as whole once the group has it as a voter."""
+        """Replace the wiped member; the replacement is complete once it is a committed voter."""
         cluster = self.cluster
         leader = cluster.leader()
         if leader is None:
@@ -276,17 +276,17 @@
             cluster.replace(lost)
         elif core.membership.index <= core.commit_index:
             self.wiped.discard(lost)
-        self.work(steps)
+        self.run_calls(steps)
 
     def teardown(self):
         for node in self.cluster.node_by_id.values():
             node.disk.fail_syncs = 0
-        self.cluster.mend()
+        self.cluster.restore_all()
         self.register.read(self.cluster.await_leader())
         self.cluster.run(1)
         self.register.observe()
         self.register.check()
-        self.cluster.settle()
+        self.cluster.check_convergence()
 
 
 class FailuresOfFive(Failures):
@@ -294,8 +294,8 @@
 
 
 @pytest.mark.parametrize(("machine", "walks"), [(Failures, 12), (FailuresOfFive, 8)])
-def test_promises_hold_under_random_failures(machine, walks):
-    """Cuts, pauses, crashes, lost folders and a bad network come in any order and together."""
+def test_guarantees_hold_under_random_failures(machine, walks):
+    """Partitions, pauses, crashes, lost folders and a bad network, in any combination."""
     run_state_machine_as_test(
         machine,
         settings=settings(
--- a/libs/consensus/tests/membership_tests.py
+++ b/libs/consensus/tests/membership_tests.py
@@ -1,4 +1,4 @@
-"""Members that join, leave, are replaced or lost their folder, and the failures beside it."""
+"""Members that join, leave, are replaced or lost their folder, with failures at the same time."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from consensus_cluster import SMALL, Cluster, carries_entries
 from tarragonhall_consensus import ChangeMember, Member
 
-ODD = replace(SMALL, most_voters=3, silent_seconds=1.0)
+ODD = replace(SMALL, most_voters=3, unresponsive_seconds=1.0)
 
 
 def test_second_member_lost_right_after_a_repair():
     """A member's disk is replaced, and right after the repair another member dies.
 
-    The repaired one must hold everything by then: users would lose changes, or see none accepted
-    until it has caught up.
+    The replaced member must have all entries by then; otherwise changes are lost, or none is
+    accepted until it has caught up.
     """
     cluster = Cluster(3)
     for number in range(40):
@@ -23,8 +23,8 @@
     lost, second = cluster.followers()
     cluster.wipe(lost)
     token = cluster.replace(lost)
-    cluster.run_until(lambda: cluster.ended(token))
-    assert cluster.ended(token) == "done"
+    cluster.run_until(lambda: cluster.outcome(token))
+    assert cluster.outcome(token) == "done"
     cluster.kill(second, wipe=True)
     cluster.commit(b"after")
     cluster.kill(cluster.leader())
@@ -33,14 +33,14 @@
         if node.replica is None and member_id != second:
             cluster.start(member_id)
     cluster.commit(b"with two")
-    cluster.settle()
+    cluster.check_convergence()
 
 
-@pytest.mark.parametrize("link", ["dead", "too thin for entries"])
+@pytest.mark.parametrize("link", ["dead", "drops entries"])
 def test_a_learner_does_not_vote_before_it_has_caught_up(link):
-    """A new member is added whose link is bad, and then another member is lost.
+    """A member with a bad link is added, and then another member is lost.
 
-    If the new one voted at once, no majority would be left and every change would hang.
+    If the new member voted at once, no majority would be left and every change would hang.
     """
     cluster = Cluster(3)
     cluster.commit(b"a")
@@ -50,19 +50,19 @@
     cluster.is_dropped = lambda target, message: target == "m9" and carries_entries(message)
     token = cluster.change(member=Member("m9", "", "a9"))
     cluster.run(3)
-    assert cluster.ended(token) == ""
+    assert cluster.outcome(token) == ""
     cluster.kill(next(member_id for member_id in cluster.followers() if member_id != "m9"))
     cluster.commit(b"b")
     cluster.heal()
-    cluster.run_until(lambda: cluster.ended(token) == "done")
-    cluster.settle()
+    cluster.run_until(lambda: cluster.outcome(token) == "done")
+    cluster.check_convergence()
 
 
 def test_wiped_folder_does_not_vote_under_its_old_identity():
     """A change is accepted by two of three members; one dies, and the other loses its folder.
 
-    With the third, which never heard of the change, the emptied member would make a majority that
-    has lost the change. Users would see it accepted and then gone.
+    The wiped member and the third, which never received the change, would form a majority without
+    it: an accepted change would be lost.
     """
     cluster = Cluster(3)
     leader = cluster.await_leader()
@@ -76,70 +76,70 @@
     assert cluster.leader() is None
     assert cluster.node_by_id[holder].replica.status().role == "outside"
     cluster.start(leader)
-    cluster.settle()
+    cluster.check_convergence()
     token = cluster.replace(holder)
-    cluster.run_until(lambda: cluster.ended(token) == "done")
-    cluster.settle()
+    cluster.run_until(lambda: cluster.outcome(token) == "done")
+    cluster.check_convergence()
 
 
 def test_wiped_member_does_not_count_for_commits():
-    """One of three members is cut off and another one loses its folder and starts again.
+    """One of three members is isolated, and another loses its folder and restarts.
 
-    The leader must not count the emptied one in place of what it was: users would be told that a
-    change is safe on two disks, of which one may have promised itself to another leader before.
+    The leader must not count the wiped one as the former member: a change would be acknowledged as
+    stored on two disks, of which one belongs to a member that may have voted for another leader.
     """
     cluster = Cluster(3)
     cluster.commit(b"a")
-    away, emptied = cluster.followers()
+    away, wiped = cluster.followers()
     leader = cluster.leader()
     cluster.isolate(away)
-    cluster.wipe(emptied)
+    cluster.wipe(wiped)
     token = cluster.propose(b"b", leader)
     cluster.run(5)
-    assert cluster.ended(token) == "lost"
-    cluster.settle()
+    assert cluster.outcome(token) == "lost"
+    cluster.check_convergence()
 
 
-def test_status_tells_which_member_is_behind_silent_or_emptied():
-    """Operators look for the member that has to be replaced."""
+def test_status_shows_unresponsive_and_wiped_members():
+    """Operators find the member to replace in the status."""
     cluster = Cluster(3)
     cluster.commit(b"a")
-    silent, emptied = cluster.followers()
-    cluster.kill(silent)
-    cluster.wipe(emptied)
+    unresponsive, wiped = cluster.followers()
+    cluster.kill(unresponsive)
+    cluster.wipe(wiped)
     cluster.run(0.9)
     status = cluster.node_by_id[cluster.leader() or "m0"].replica.status()
-    identity = cluster.node_by_id[emptied].replica.status().identity
-    assert status.peer_by_id[emptied].other_identity == identity
-    assert status.peer_by_id[silent].other_identity == ""
-    assert status.peer_by_id[silent].silent_seconds >= 0.85
+    identity = cluster.node_by_id[wiped].replica.status().identity
+    assert status.peer_by_id[wiped].other_identity == identity
+    assert status.peer_by_id[unresponsive].other_identity == ""
+    assert status.peer_by_id[unresponsive].seconds_since_contact >= 0.85
 
 
-def test_wiped_founder_founds_no_second_group():
-    """The member that founded the group loses its folder and starts with its old settings.
+def test_wiped_initial_member_bootstraps_no_second_group():
+    """The member that bootstrapped the group loses its folder and restarts with the same settings.
 
-    It must not found the group once more: some callers would talk to an empty one.
+    It must not bootstrap a second group: some callers would reach an empty one.
     """
     cluster = Cluster(3)
     cluster.commit(b"a")
     cluster.wipe("m0")
     cluster.run(10)
     assert cluster.node_by_id["m0"].replica.status().role == "outside"
-    cluster.settle()
+    cluster.check_convergence()
 
 
-def test_removed_member_cannot_disturb():
-    """A member is removed while it is cut off, and comes back believing that it belongs.
+def test_removed_member_cannot_lead_or_depose_the_leader():
+    """A member is removed while it is isolated, and returns without knowing of its removal.
 
-    It must neither lead nor depose the leader; users would see pauses, or an old state.
+    It must neither lead nor depose the leader; users would see pauses, or a stale state.
     """
     cluster = Cluster(3)
     cluster.commit(b"a")
     leader = cluster.leader()
-    removed, kept = cluster.followers()
+    removed, remaining = cluster.followers()
     cluster.isolate(removed)
     token = cluster.change(member=Member(removed, "", ""), remove=True)
-    cluster.run_until(lambda: cluster.ended(token) == "done")
+    cluster.run_until(lambda: cluster.outcome(token) == "done")
     cluster.commit(b"b")
     cluster.heal()
     cluster.run(10)
@@ -148,7 +148,7 @@
     cluster.run(10)
     assert cluster.leader() is None
     cluster.start(leader)
-    assert cluster.await_leader() in (leader, kept)
+    assert cluster.await_leader() in (leader, remaining)
     assert len(cluster.node_by_id[leader].replica.status().members) == 2
 
 
@@ -156,15 +156,15 @@
     cluster = Cluster(3)
     old = cluster.await_leader()
     token = cluster.change(member=Member(old, "", ""), remove=True)
-    cluster.run_until(lambda: cluster.ended(token) == "done")
+    cluster.run_until(lambda: cluster.outcome(token) == "done")
     assert cluster.await_leader() != old
     cluster.commit(b"a")
 
 
 def test_no_member_change_before_the_first_commit_of_a_term():
-    """Two leaders in turn each begin a member change that the other has not heard of.
+    """Two leaders in turn each start a member change that the other has not received.
 
-    Their majorities need not meet; both could commit, and users would lose changes.
+    Their majorities need not overlap: both could commit, and changes would be lost.
     """
     cluster = Cluster(3)
     cluster.kill(cluster.await_leader())
@@ -177,8 +177,8 @@
                 leading.append(member_id)
     assert not cluster.node_by_id[leading[0]].replica.is_leader(cluster.now)
     change = ChangeMember(77, Member("m9", "", "a"))
-    cluster.give(leading[0], change)
-    assert cluster.ended(77) == "refused"
+    cluster.step(leading[0], change)
+    assert cluster.outcome(77) == "refused"
 
 
 def _voters(cluster):
@@ -193,10 +193,10 @@
 
 
 def test_four_members_that_are_cut_in_two_halves_still_have_a_leader():
-    """Four control members are cut two from two for seconds.
+    """Four control members are partitioned into two halves for some seconds.
 
-    With four voters neither half had three of them: no owner of a rate was confirmed, and every
-    call of every organisation was refused until the cut was over.
+    With four voters neither half would have a majority of three: no owner of a rate would be
+    confirmed, and every call of every organisation would be rejected until the partition ends.
     """
     cluster = Cluster(3, limits=ODD)
     cluster.commit(b"a")
@@ -205,17 +205,17 @@
     second = [member_id for member_id in cluster.node_by_id if member_id not in first]
     cluster.cut(first, second, both=True)
     cluster.run(6)
-    # The half of the learner has one vote of three, the other one has two.
+    # The half with the learner has one of three votes, the other has two.
     assert cluster.leader() in second
     cluster.commit(b"b")
     cluster.heal()
-    cluster.settle()
+    cluster.check_convergence()
 
 
 def test_a_learner_votes_once_a_voter_is_lost():
-    """Of three voters one dies for good while a fourth member holds the log.
+    """One of three voters dies permanently while a learner holds the log.
 
-    Left a learner, it could not help, and the next loss would end the group.
+    If the learner were not promoted, the next loss would end the group.
     """
     cluster = Cluster(3, limits=ODD)
     cluster.commit(b"a")
@@ -226,6 +226,6 @@
     cluster.run(5)
     assert "m9" in _voters(cluster)
     token = cluster.change(member=Member(dead, "", f"a{dead}"), remove=True)
-    cluster.run_until(lambda: cluster.ended(token) == "done")
+    cluster.run_until(lambda: cluster.outcome(token) == "done")
     cluster.kill(second)
     cluster.commit(b"b")
--- a/libs/consensus/tests/replica_tests.py
+++ b/libs/consensus/tests/replica_tests.py
@@ -1,4 +1,4 @@
-"""Failures that a group of members must survive, one by one."""
+"""Failures of members and links that a group must survive."""
 
 from __future__ import annotations
 
@@ -17,39 +17,40 @@
 
 
 @pytest.mark.parametrize("count", [3, 5])
-def test_members_found_a_group_elect_a_leader_and_commit(count):
+def test_members_bootstrap_a_group_elect_a_leader_and_commit(count):
     cluster = Cluster(count)
     for number in range(60):
         cluster.commit(b"%d" % number)
-    cluster.settle()
+    cluster.check_convergence()
     assert len(cluster.leader_by_term) == 1
 
 
 def test_a_proposal_takes_four_messages_until_it_is_answered():
-    """A further message to each member at each commit once made half of all traffic.
+    """No separate message reports the commit to each member.
 
-    Members on slow links would fall behind, and users would wait longer for every change.
+    Such messages would be half of all messages: members on slow links would fall behind, and users
+    would wait longer for every change.
     """
     cluster = Cluster(3)
     leader = cluster.await_leader()
     cluster.commit(b"before")
     cluster.run(1)
-    # Heartbeats on their way, and the answers to them, are no part of the proposal.
+    # Exclude heartbeats in flight and the replies to them.
     cluster.deliver()
     cluster.sent.clear()
     token = cluster.propose(b"one", leader)
     cluster.deliver()
-    assert cluster.ended(token) == "done"
+    assert cluster.outcome(token) == "done"
     kinds = [(source == leader, type(message)) for source, _, message in cluster.sent]
     expected = [(True, AppendRequest)] * 2 + [(False, AppendReply)] * 2
     assert kinds == expected
 
 
 def test_one_way_cut_of_the_leader():
-    """The leader is heard by all and hears nobody, for a minute.
+    """For a minute the leader's messages arrive, but all replies to it are lost.
 
-    Nobody stands against it, since its heartbeats arrive. Users would see every change hang until
-    the cut is mended.
+    Its heartbeats prevent an election. Unless it steps down, every change hangs until the
+    partition ends.
     """
     cluster = Cluster(3)
     old = cluster.await_leader()
@@ -57,18 +58,18 @@
     cluster.cut(cluster.followers(), old)
     hanging = cluster.propose(b"hanging", old)
     new = cluster.await_leader(without=old)
-    assert cluster.ended(hanging) == "lost"
+    assert cluster.outcome(hanging) == "lost"
     cluster.commit(b"during")
     cluster.run(60)
     assert cluster.leader() == new
-    cluster.settle()
+    cluster.check_convergence()
 
 
-def test_logs_that_have_parted_are_made_one():
-    """A leader is cut off with a change that nobody else has, and two others lead after it.
+def test_diverged_logs_converge():
+    """A leader is isolated with a change that nobody else has, and two other leaders follow.
 
-    Its change was never accepted. If it stayed in the middle of its log, users who ask this
-    member later would be shown a state that never was.
+    Its change was never accepted. If it remained in this member's log, the member would later
+    serve a state that never existed.
     """
     cluster = Cluster(5)
     old = cluster.await_leader()
@@ -80,13 +81,13 @@
     cluster.kill(second)
     cluster.await_leader()
     cluster.heal()
-    cluster.settle()
+    cluster.check_convergence()
 
 
 def test_full_cut_of_the_leader():
-    """The leader's network card dies and comes back after a minute.
+    """The leader's network fails for a minute.
 
-    It must not answer a read in between: users would see a state that others have changed.
+    It must not confirm a read in that time: users would see a state that others have changed.
     """
     cluster = Cluster(3)
     old = cluster.await_leader()
@@ -97,17 +98,17 @@
     cluster.commit(b"new")
     late = cluster.read(old)
     cluster.run(60)
-    assert [cluster.ended(early), cluster.ended(late)] == ["lost", "lost"]
+    assert [cluster.outcome(early), cluster.outcome(late)] == ["lost", "lost"]
     term = max(cluster.leader_by_term)
-    cluster.settle()
+    cluster.check_convergence()
     assert max(cluster.leader_by_term) == term
 
 
 def test_a_returning_member_does_not_depose_the_leader():
-    """A member hears nobody for a minute and then everybody again.
+    """A member receives no messages for a minute and then all messages again.
 
-    If it had raised its term all the while, its return would end the lead of one that serves well;
-    users would see a pause in every such case.
+    If it had raised its term in that time, its return would depose a healthy leader, and users
+    would see a pause each time.
     """
     cluster = Cluster(3)
     leader = cluster.await_leader()
@@ -121,29 +122,29 @@
 
 
 def test_paused_leader_with_an_expired_lease_does_not_answer_a_read():
-    """The leader's machine freezes for some seconds, and another takes over and accepts changes.
+    """The leader's machine pauses for some seconds, and another leader accepts changes.
 
-    When it wakes it still believes that it leads. Users who ask it would be shown settings that
-    have been changed since.
+    On resuming it still has the leader role. Reads confirmed by it would return settings that have
+    been changed since.
     """
     cluster = Cluster(3)
     old = cluster.await_leader()
     cluster.pause(old, 10)
     cluster.run(0.1)
-    asked = cluster.read(cluster.await_leader(without=old))
+    read_token = cluster.read(cluster.await_leader(without=old))
     cluster.commit(b"new")
-    assert cluster.ended(asked) == "done"
+    assert cluster.outcome(read_token) == "done"
     cluster.node_by_id[old].paused_until = 0
     assert not cluster.node_by_id[old].replica.is_leader(cluster.now)
     late = cluster.read(old)
-    assert cluster.ended(late) == "lost"
+    assert cluster.outcome(late) == "lost"
 
 
 def test_lost_entries_are_sent_again_while_heartbeats_are_answered():
-    """One message with a change is lost on the way to one member, and then callers are quiet.
+    """A message with an entry is lost on its way to one member, and no further change follows.
 
-    That member goes on answering heartbeats. Users who ask it would not see the change until
-    somebody makes another one.
+    The member continues to answer heartbeats. If that counted as progress, it would not receive
+    the entry until the next change.
     """
     cluster = Cluster(3)
     cluster.await_leader()
@@ -159,8 +160,7 @@
 def test_return_after_hundreds_of_changes():
     """A member is down while hundreds of changes are made and the log is compacted.
 
-    It gets a snapshot in parts, while its disk works and changes go on. Users who ask it
-    afterwards must see the newest state.
+    It receives a snapshot in parts over a bad network and must then have the newest state.
     """
     cluster = Cluster(3)
     cluster.commit(b"first")
@@ -171,24 +171,24 @@
     cluster.start(away)
     cluster.loss, cluster.duplicates, cluster.jitter = 0.2, 0.2, 0.2
     cluster.run(10)
-    cluster.settle()
+    cluster.check_convergence()
     assert any(type(message).__name__ == "SnapshotChunk" for _, _, message in cluster.sent)
     assert len(cluster.node_by_id[away].machine.entries) == 302
 
 
-def test_messages_of_other_kinds_are_passed_over():
-    """A newer member, or one that has gone wrong, sends what this program does not know."""
+def test_messages_of_unknown_kinds_are_ignored():
+    """A newer or faulty member sends messages that this version does not know."""
     cluster = Cluster(3)
     cluster.commit(b"a")
-    cluster.give(cluster.leader(), Received("m1", Member("x", "", "")), Received("m1", None))
-    cluster.settle()
+    cluster.step(cluster.leader(), Received("m1", Member("x", "", "")), Received("m1", None))
+    cluster.check_convergence()
 
 
 def test_entry_of_an_earlier_term_is_not_committed_by_counting():
-    """A leader loses the lead, wins it again, and its old entry reaches a majority.
+    """A leader loses an election, wins a later one, and its old entry reaches a majority.
 
-    Another member with a later term may still overwrite that entry. If it had been counted as
-    committed, users would lose a change that they were told was accepted.
+    A leader whose last entry has a later term may still overwrite that entry. If it counted as
+    committed, an acknowledged change would be lost.
     """
     cluster = Cluster(3)
     leader = cluster.await_leader()
@@ -196,11 +196,11 @@
     cluster.propose(b"old", leader)
     core = cluster.node_by_id[leader].replica._core
     old_index = core.storage.log.last_index
-    core.follow(core.term + 1, None)
-    core.lead(Leadership(core))
+    core.become_follower(core.term + 1, None)
+    core.become_leader(Leadership(core))
     for peer in cluster.followers():
         if peer != leader:
-            core.leadership._replication._progress_by_id[peer].accept(old_index)
+            core.leadership._replication._progress_by_id[peer].record_match(old_index)
     core.leadership.advance_commit()
     assert core.commit_index < old_index
 
@@ -221,10 +221,10 @@
 
 
 def test_a_vote_survives_a_power_cut():
-    """A member gives its vote, and its power goes right after.
+    """A member grants its vote and loses power right after.
 
-    If it had forgotten the vote it could give a second one in the same term; two leaders would
-    each accept changes.
+    If the vote was not stored, the member could vote again in the same term; two leaders would
+    accept changes.
     """
     cluster = Cluster(3)
     leader = cluster.await_leader()
@@ -232,18 +232,18 @@
     cluster.isolate(voter)
     cluster.run(2.5)
     term = 50
-    assert _granted(cluster.give(voter, _vote_request(cluster, other, voter, term))) == [True]
+    assert _granted(cluster.step(voter, _vote_request(cluster, other, voter, term))) == [True]
     cluster.kill(voter, power=True)
     cluster.start(voter)
     cluster.run(1.05)
     request = _vote_request(cluster, leader, voter, term)
-    assert _granted(cluster.give(voter, request)) == [False]
+    assert _granted(cluster.step(voter, request)) == [False]
 
 
 def test_a_member_that_lacks_committed_entries_is_not_elected():
-    """The leader dies, and the member that was cut off until now is the first to stand.
+    """The leader dies, and a member that was isolated until then is the first candidate.
 
-    Elected, it would overwrite what it never heard of; users would lose accepted changes.
+    Elected, it would overwrite committed entries that it lacks; accepted changes would be lost.
     """
     cluster = Cluster(3)
     leader = cluster.await_leader()
@@ -252,17 +252,17 @@
     cluster.commit(b"accepted")
     cluster.kill(leader)
     cluster.heal()
-    cluster.node_by_id[holder].replica._core.heard_at = -100.0
+    cluster.node_by_id[holder].replica._core.leader_contact_at = -100.0
     cluster.node_by_id[behind].replica._core.election_at = 0.0
     cluster.run(0.1)
     assert cluster.leader() != behind
-    cluster.settle()
+    cluster.check_convergence()
 
 
 def test_a_member_that_alone_misses_the_leader_does_not_depose_it():
     """One link of the leader drops everything; all others work.
 
-    The member behind it stands for election again and again. Users would see the lead wander.
+    The member behind it starts elections again and again. The leader must not change.
     """
     cluster = Cluster(3)
     leader = cluster.await_leader()
@@ -272,11 +272,11 @@
     assert len(cluster.leader_by_term) == 1
 
 
-def test_a_restarted_member_keeps_its_silence_towards_the_leader():
-    """A follower answers the leader, restarts in a moment, and is asked for its vote.
+def test_a_restarted_member_does_not_vote_while_the_leader_may_hold_its_lease():
+    """A follower answers the leader, restarts at once, and receives a vote request.
 
-    The leader counts on that answer for its lease. With a second leader beside it, users would
-    be told two different things at one time.
+    The leader's lease relies on that answer. With a second leader, users would read two different
+    states at the same time.
     """
     cluster = Cluster(3)
     leader = cluster.await_leader()
@@ -294,31 +294,31 @@
 
 
 def test_a_read_is_not_confirmed_by_an_answer_to_an_older_message():
-    """Answers are slow, and a read is asked while some are on their way.
+    """Replies are delayed, and a read is requested while some are in flight.
 
-    They tell nothing of the time after they left; users could be shown an old state.
+    They prove nothing about the time since they were sent; the read could return a stale state.
     """
     cluster = Cluster(3)
     leader = cluster.await_leader()
     node = cluster.node_by_id[leader]
     cluster.now += 0.3
-    cluster.give(leader, Tick())
+    cluster.step(leader, Tick())
     cluster.pause(leader, 1)
     cluster.deliver()
     late, node.inbox, node.paused_until = node.inbox, [], 0.0
     assert late
     token = cluster.read(leader)
-    cluster.give(leader, *late)
-    assert cluster.ended(token) == ""
+    cluster.step(leader, *late)
+    assert cluster.outcome(token) == ""
     cluster.run(0.1)
-    assert cluster.ended(token) == "done"
+    assert cluster.outcome(token) == "done"
 
 
-def test_late_answer_of_a_member_whose_entries_are_gone():
-    """A member answers an old message after a long silence; what it needs next is compacted.
+def test_late_reply_of_a_member_whose_entries_are_compacted():
+    """An isolated member answers an old message; the entries that it needs next are compacted.
 
-    The leader must look for the place where the logs meet, not send on from an entry that it no
-    longer has. It once sent a message without a term, which stopped the member that got it.
+    The leader must probe for the matching index instead of continuing after an entry that it no
+    longer has: such a message has no previous term and would stop the receiver.
     """
     cluster = Cluster(3)
     cluster.commit(b"a")
@@ -334,22 +334,22 @@
     envelope = Envelope(core.group, identity, core.identity, core.term)
     matched = progress.match_index
     cluster.heal()
-    cluster.give(leader, Received(late, AppendReply(envelope, 0, True, matched, matched)))
-    cluster.settle()
+    cluster.step(leader, Received(late, AppendReply(envelope, 0, True, matched, matched)))
+    cluster.check_convergence()
 
 
 @pytest.mark.parametrize("failure", ["disk full", "sync failed"])
 def test_a_leader_whose_disk_fails_stops_and_another_takes_over(failure):
     """The leader's disk fills up, or fails a sync, while callers make changes.
 
-    It must stop with a clear error and promise nothing more; the others go on.
+    It must stop with a clear error and acknowledge nothing more; the others continue.
     """
     cluster = Cluster(3)
     cluster.commit(b"a")
     old = cluster.leader()
     node = cluster.node_by_id[old]
     if failure == "disk full":
-        node.disk.room = 10
+        node.disk.free_bytes = 10
     else:
         node.disk.fail_syncs = 1
     token = cluster.propose(b"b", old)
@@ -357,43 +357,43 @@
     assert str(node.failure) == failure
     cluster.await_leader(without=old)
     cluster.commit(b"c")
-    assert cluster.ended(token) == ""
-    node.disk.room = 1 << 30
-    cluster.settle()
+    assert cluster.outcome(token) == ""
+    node.disk.free_bytes = 1 << 30
+    cluster.check_convergence()
 
 
-def test_a_snapshot_for_a_silent_member_is_not_held_in_memory():
-    """A member is down for good after the log was compacted.
+def test_a_snapshot_for_an_unresponsive_member_is_not_held_in_memory():
+    """A member is down permanently after the log was compacted.
 
-    A leader that kept a snapshot ready for it would need the memory of its state twice.
+    A leader that held a snapshot for it would need twice the memory of the state.
     """
     cluster = Cluster(3)
     cluster.commit(b"a")
-    silent = cluster.followers()[0]
-    cluster.isolate(silent)
+    unresponsive = cluster.followers()[0]
+    cluster.isolate(unresponsive)
     for number in range(60):
         cluster.commit(b"%d" % number)
     replication = cluster.node_by_id[cluster.leader()].replica._core.leadership._replication
-    progress = replication._progress_by_id[silent]
+    progress = replication._progress_by_id[unresponsive]
     assert progress.transfer is None
     cluster.heal()
     cluster.is_dropped = lambda target, message: isinstance(message, SnapshotChunk)
     cluster.run(2)
     assert progress.transfer is not None
-    cluster.isolate(silent)
+    cluster.isolate(unresponsive)
     cluster.run(15)
     assert progress.transfer is None
-    cluster.settle()
+    cluster.check_convergence()
 
 
-def test_a_proposal_without_majority_is_bounded():
-    """A leader that has just lost its majority is flooded by callers.
+def test_uncommitted_bytes_are_limited():
+    """A leader that has just lost its majority receives many proposals.
 
-    It must refuse at some point instead of filling its memory, and the refusal must be true.
+    It must reject them beyond a limit instead of filling its memory, and not log the rejected ones.
     """
     cluster = Cluster(3)
     leader = cluster.await_leader()
     cluster.isolate(leader)
     tokens = [cluster.propose(bytes(1 << 20), leader) for _ in range(12)]
-    assert cluster.ended(tokens[0]) == ""
-    assert cluster.ended(tokens[-1]) == "refused"
+    assert cluster.outcome(tokens[0]) == ""
+    assert cluster.outcome(tokens[-1]) == "refused"
--- a/libs/consensus/tests/single_member_tests.py
+++ b/libs/consensus/tests/single_member_tests.py
@@ -21,7 +21,7 @@
 
 
 class Journal:
-    """A machine that keeps every entry."""
+    """A state machine that stores every entry."""
 
     def __init__(self) -> None:
         self.entries: list[bytes] = []
@@ -87,12 +87,12 @@
 
 @pytest.mark.parametrize("size", [10, 5_000])
 def test_snapshots_stay_rare_whatever_the_size_of_entries(tmp_path, size):
-    """Large entries stay behind a snapshot for members that are a little late.
+    """Large entries are retained before a snapshot for members that are slightly behind.
 
-    If those counted towards the next snapshot, every change would write the whole state; users
+    If they counted towards the next snapshot, every change would write the whole state and users
     would wait for it each time.
     """
-    limits = {"snapshot_entries": 100, "snapshot_bytes": 100_000, "snapshot_spread": 0.0}
+    limits = {"snapshot_entries": 100, "snapshot_bytes": 100_000, "snapshot_jitter": 0.0}
     machine = Journal()
     replica = open_alone(tmp_path / "data", machine, **limits)
     taken = []
@@ -104,7 +104,7 @@
 
 def test_a_large_state_is_not_written_more_often_than_the_log_grows_by_it(tmp_path):
     machine = Journal()
-    replica = open_alone(tmp_path / "data", machine, snapshot_entries=10, snapshot_spread=0.0)
+    replica = open_alone(tmp_path / "data", machine, snapshot_entries=10, snapshot_jitter=0.0)
     taken = []
     machine.snapshot = lambda: taken.append(1) or bytes(20_000)
     for token in range(400):
@@ -112,20 +112,20 @@
     assert len(taken) == 2
 
 
-def test_a_second_process_is_kept_out_of_the_folder(tmp_path):
+def test_a_second_process_cannot_open_the_folder(tmp_path):
     open_alone(tmp_path / "data", Journal())
     with pytest.raises(StorageError, match="another process"):
         open_alone(tmp_path / "data", Journal())
 
 
-def test_a_folder_of_another_member_is_refused(tmp_path):
+def test_a_folder_of_another_member_is_rejected(tmp_path):
     open_alone(tmp_path / "data", Journal()).close()
     with pytest.raises(StorageError, match="belongs to member solo"):
         open_replica(str(tmp_path / "data"), "other", "", [], Journal(), random.Random(1), 0.0)
 
 
 def test_limits_for_another_election_time_keep_their_proportions():
-    # A lease that outlives the silence of the voters would let two leaders answer at once.
+    # A lease longer than the time in which voters reject candidates would allow two leaders.
     limits = limits_for(0.45)
     assert limits.lease_seconds < limits.election_seconds == 0.45
     assert 3 * limits.heartbeat_seconds < limits.election_seconds
--- a/libs/consensus/tests/storage_tests.py
+++ b/libs/consensus/tests/storage_tests.py
@@ -1,4 +1,4 @@
-"""The data folder under crashes, torn writes, damage, a full disk and failed syncs."""
+"""Recovery of the data folder after crashes, torn writes, damage, a full disk, failed syncs."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def workload(disk, synced):
-    """Use every way of writing; note in `synced` what has been promised."""
+    """Use every write operation; record in `synced` what is durable."""
     storage = opened(disk)
     synced["identity"] = storage.identity
     for number in range(1, 31):
@@ -48,24 +48,24 @@
 
 
 def test_power_cut_between_any_two_steps():
-    """The power goes at some call to the disk; what was not synced is lost, torn or garbled.
+    """Power fails at any call to the disk; unsynced data is lost, torn or garbled.
 
-    What the member has promised must be there at the next start, whatever the instant. Users
-    would lose accepted changes, and a forgotten vote could make two leaders.
+    All synced data must be present at the next start. Otherwise accepted changes would be lost, and
+    a lost vote could elect two leaders.
     """
-    cut_at = 0
+    power_cut_at = 0
     finished = False
     while not finished:
-        cut_at += 1
-        disk = Disk(random.Random(cut_at))
-        disk.cut_at = cut_at
+        power_cut_at += 1
+        disk = Disk(random.Random(power_cut_at))
+        disk.power_cut_at = power_cut_at
         synced = {"last": 0, "trying": 0}
         try:
             workload(disk, synced)
             finished = True
         except PowerCut:
             pass
-        disk.cut_at = None
+        disk.power_cut_at = None
         disk.cut_power()
         storage = opened(disk, seed=2)
         assert storage.log.last_index in (synced["last"], synced["trying"])
@@ -75,11 +75,11 @@
         numbers = data_of(storage)
         assert numbers == list(range(storage.log.base_index + 1, storage.log.last_index + 1))
         write(storage, [storage.log.last_index + 1])
-    assert cut_at > 100
+    assert power_cut_at > 100
 
 
-def test_torn_tail_is_cut_and_writing_goes_on():
-    """The process dies in the middle of a write, which leaves half a frame at the end."""
+def test_torn_end_is_truncated_and_writing_continues():
+    """The process dies during a write and leaves an incomplete frame at the end."""
     disk = Disk(random.Random(1))
     storage = opened(disk)
     write(storage, [1, 2])
@@ -95,10 +95,10 @@
 
 @pytest.mark.parametrize("segment", [0, 1, -1])
 def test_damage_in_the_middle_is_reported(segment):
-    """A bit flips in what was synced long ago.
+    """A bit flips in data that was synced long ago.
 
-    Were the rest cut like a torn end, entries that this member has acknowledged would vanish
-    without a word.
+    If the rest were truncated like a torn end, entries that this member has acknowledged would be
+    lost silently.
     """
     disk = Disk(random.Random(1))
     storage = opened(disk)
@@ -111,9 +111,10 @@
 
 
 def test_replaced_entries_and_compaction():
-    """A leader replaces the end of the log, back to before the newest segment, then it compacts.
+    """A leader replaces entries back to before the newest segment, then the log is compacted.
 
-    If the log were cut right at that segment, the member could not read it at its next start.
+    If all segments before the newest one were removed, the member could not read its log at the
+    next start.
     """
     disk = Disk(random.Random(1))
     storage = opened(disk)
@@ -134,7 +135,7 @@
 
 
 def test_a_missing_segment_is_reported():
-    """Someone removes a file from the data folder."""
+    """An operator removes a file from the data folder."""
     disk = Disk(random.Random(1))
     storage = opened(disk)
     write(storage, range(1, 30))
@@ -145,7 +146,7 @@
 
 
 def test_a_file_that_is_no_segment_is_reported():
-    """Someone keeps a copy of a segment in the data folder."""
+    """An operator leaves a copy of a segment in the data folder."""
     disk = Disk(random.Random(1))
     opened(disk)
     disk.kill()
@@ -173,14 +174,14 @@
 
 
 def test_disk_full_stops_the_member_and_loses_nothing():
-    """The disk fills up while changes are accepted; the operators then free space."""
+    """The disk fills up while changes are accepted; operators then free space."""
     disk = Disk(random.Random(1))
     storage = opened(disk)
     write(storage, [1, 2])
-    disk.room = 30
+    disk.free_bytes = 30
     with pytest.raises(StorageError, match="disk full"):
         write(storage, [3])
-    disk.room = 1 << 30
+    disk.free_bytes = 1 << 30
     with pytest.raises(StorageError, match="restart"):
         write(storage, [4])
     disk.kill()
@@ -189,11 +190,11 @@
     write(storage, [3])
 
 
-def test_a_failed_sync_is_never_tried_again_on_the_same_file():
-    """The disk fails one sync; the system drops the pages and reports success ever after.
+def test_a_failed_sync_is_never_retried_on_the_same_file():
+    """The disk fails one sync; the system drops the pages and later reports success.
 
-    A second try on the file would promise what is not on the disk. Users would lose accepted
-    changes at the next power cut.
+    A retry on the same file would acknowledge data that is not on the disk. Accepted changes would
+    be lost at the next power cut.
     """
     disk = Disk(random.Random(1))
     storage = opened(disk)
@@ -205,21 +206,22 @@
         write(storage, [4])
     disk.kill()
     again = opened(disk)
-    kept = data_of(again)
+    recovered = data_of(again)
     write(again, [9])
     disk.cut_power()
-    assert data_of(opened(disk)) == [*kept, 9]
+    assert data_of(opened(disk)) == [*recovered, 9]
 
 
 def test_what_a_killed_process_left_unsynced_is_synced_before_use():
-    """The process is killed between write and sync, starts again, and then the power goes.
+    """The process is killed between write and sync and restarts, and then power fails.
 
-    The second start finds the entry in the system's memory and acts on it; it must not vanish.
+    The restarted process reads the entry from the system's memory and acts on it, so the entry must
+    not be lost.
     """
     disk = Disk(random.Random(1))
     storage = opened(disk)
     write(storage, [1])
-    disk.cut_at = disk.steps + 3
+    disk.power_cut_at = disk.call_count + 3
     with pytest.raises(PowerCut):
         write(storage, [2])
     disk.kill()
@@ -229,8 +231,8 @@
     assert data_of(opened(disk)) == seen
 
 
-def test_a_folder_of_a_newer_format_is_refused():
-    """An older program is started on a folder that a newer one has written."""
+def test_a_folder_of_a_newer_format_is_rejected():
+    """An older version is started on a folder that a newer one has written."""
     disk = Disk(random.Random(1))
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr("tarragonhall_consensus._storage.FORMAT_VERSION", 2)
--- a/libs/group/tarragonhall_group/__init__.py
+++ b/libs/group/tarragonhall_group/__init__.py
@@ -1,4 +1,4 @@
-"""One member of a replicated group: its log loop, its links to the others, and their repair."""
+"""One member of a replicated group: its log loop, its links to the peers, joining and repair."""
 
 from __future__ import annotations
 
--- a/libs/group/tarragonhall_group/_join.py
+++ b/libs/group/tarragonhall_group/_join.py
@@ -1,4 +1,4 @@
-"""Asks to become a member of a group while no leader counts this process as one."""
+"""Join requests of a process without a leader, and repair of the membership by the leader."""
 
 from __future__ import annotations
 
@@ -16,20 +16,21 @@
 
 log = structlog.get_logger(__name__)
 
-# A replaced machine is to be made up for within seconds: it asks and is looked at several times.
-JOIN_SECONDS = 0.4
-REPAIR_SECONDS = 0.25
-ASK_SECONDS = 0.5
-# An election takes one to two seconds; whoever hears no leader for longer may have been taken out
-# of the group while it was away, and no leader will speak to it by itself.
-UNLED_SECONDS = 2.5
-# A member that takes long to catch up goes on doing so; the next change need not wait for it.
-CHANGE_SECONDS = 1.0
+# Intervals of join requests and of membership repair. A lost machine must be replaced within a few
+# seconds, which leaves time for several requests and repair steps.
+JOIN_INTERVAL_SECONDS = 0.4
+REPAIR_INTERVAL_SECONDS = 0.25
+JOIN_REQUEST_TIMEOUT_SECONDS = 0.5
+# An election takes one to two seconds. A process without contact with a leader for longer may have
+# been removed from the group while it was away, and the leader does not contact it then.
+LEADERLESS_SECONDS = 2.5
+# A member that takes longer to catch up continues to do so; the next change need not wait for it.
+CHANGE_TIMEOUT_SECONDS = 1.0
 
 
 @record
 class JoinGroup:
-    """A process that no leader counts as a member asks to be one. Reply: `JoinHeard`."""
+    """Request of a process to become a member of the group. Reply: `JoinHeard`."""
 
     member_id: str
     address: str
@@ -38,16 +39,16 @@
 
 @record
 class JoinHeard:
-    """Whether the receiver leads, and where the leader is if not."""
+    """Whether the receiver is the leader and, if not, the leader's address where known."""
 
     leads: bool
     leader: str | None = None
 
 
 class Joiner:
-    """The part of every member in joining: asks while it is none, and repairs while it leads.
+    """Requests membership while there is no leader, and repairs the membership while leading.
 
-    `addresses` returns where other members may be; `leaving` names those that must not join.
+    `addresses` returns possible addresses of members; `leaving` the ids that must not join.
     """
 
     __slots__ = (
@@ -73,68 +74,73 @@
         self._addresses = addresses
         self._leaving = leaving
         self._repair = repair or MemberRepair()
-        # Who led when this process asked last. A process that a full group keeps waiting asks only
-        # there, not all members each time.
+        # Address of the leader at the last join request. A process that waits to join a full group
+        # sends further requests only there: 6 processes that ask all 10 members each time would
+        # send 150 requests a second.
         self._leader: str | None = None
         self._stopped = False
         context.hub.handle(JoinGroup, self._on_join)
 
     def start(self) -> None:
-        """Begin to ask and to repair."""
+        """Start the join and repair loops."""
         eventlet.spawn_n(self._join_loop)
         eventlet.spawn_n(self._repair_loop)
 
     def stop(self) -> None:
-        """Ask and repair no more."""
+        """Stop the join and repair loops."""
         self._stopped = True
 
     def _on_join(self, _link: Link, message: JoinGroup) -> JoinHeard:
         if not self._member.is_leader():
             return JoinHeard(leads=False, leader=self._member.leader_address())
-        near = message.availability_zone == self._context.availability_zone
-        self._repair.ask(message.member_id, message.address, self._context.monotonic(), near)
+        same_zone = message.availability_zone == self._context.availability_zone
+        self._repair.add_request(
+            message.member_id, message.address, self._context.monotonic(), same_zone
+        )
         return JoinHeard(leads=True)
 
     def _join_loop(self) -> None:
         while not self._stopped:
-            eventlet.sleep(JOIN_SECONDS * self._context.rng.uniform(0.8, 1.2))
+            eventlet.sleep(JOIN_INTERVAL_SECONDS * self._context.rng.uniform(0.8, 1.2))
             status = self._member.loop.replica.status()
-            if status.unled_seconds < UNLED_SECONDS:
+            if status.leaderless_seconds < LEADERLESS_SECONDS:
                 continue
             if self._member.member_id in self._leaving():
                 continue
-            self._ask_all(status)
+            self._send_join_requests(status)
 
-    def _ask_all(self, status: Status) -> None:
+    def _send_join_requests(self, status: Status) -> None:
         context = self._context
         message = JoinGroup(self._member.member_id, context.link_address, context.availability_zone)
         if self._leader is not None:
-            eventlet.spawn_n(self._ask, self._leader, message)
+            eventlet.spawn_n(self._send_join_request, self._leader, message)
             return
         addresses = [member.address for member in status.members]
         for address in dict.fromkeys(self._addresses() + addresses):
             if address == self._context.link_address:
                 continue
-            eventlet.spawn_n(self._ask, address, message)
+            eventlet.spawn_n(self._send_join_request, address, message)
 
-    def _ask(self, address: str, message: JoinGroup) -> None:
-        asked = address
+    def _send_join_request(self, address: str, message: JoinGroup) -> None:
+        target = address
         self._leader = None
         try:
-            reply = self._context.hub.wait_for(asked, ASK_SECONDS).request(message, ASK_SECONDS)
-            if not reply.leads and reply.leader is not None and reply.leader != asked:
-                asked = reply.leader
-                link = self._context.hub.wait_for(asked, ASK_SECONDS)
-                reply = link.request(message, ASK_SECONDS)
+            reply = self._context.hub.wait_for(target, JOIN_REQUEST_TIMEOUT_SECONDS).request(
+                message, JOIN_REQUEST_TIMEOUT_SECONDS
+            )
+            if not reply.leads and reply.leader is not None and reply.leader != target:
+                target = reply.leader
+                link = self._context.hub.wait_for(target, JOIN_REQUEST_TIMEOUT_SECONDS)
+                reply = link.request(message, JOIN_REQUEST_TIMEOUT_SECONDS)
         except LinkError as error:
-            log.debug("group.join_unheard", address=asked, error=str(error))
+            log.debug("group.join_unheard", address=target, error=str(error))
             return
         if reply.leads:
-            self._leader = asked
+            self._leader = target
 
     def _repair_loop(self) -> None:
         while not self._stopped:
-            eventlet.sleep(REPAIR_SECONDS)
+            eventlet.sleep(REPAIR_INTERVAL_SECONDS)
             if not self._member.is_leader():
                 continue
             status = self._member.loop.replica.status()
@@ -150,8 +156,8 @@
             )
             try:
                 self._member.loop.change_member(
-                    change.member, change.remove, change.replace, CHANGE_SECONDS
+                    change.member, change.remove, change.replace, CHANGE_TIMEOUT_SECONDS
                 )
             except LeadUnknownError as error:
-                # Tried again with the state of that time: another change may be under way.
+                # Another change may be in progress; the next round retries with the state by then.
                 log.info("group.member_change_failed", error=str(error))
--- a/libs/group/tarragonhall_group/_loop.py
+++ b/libs/group/tarragonhall_group/_loop.py
@@ -1,4 +1,4 @@
-"""Feeds the replicated log: one green thread, one step and one sync for all events at hand."""
+"""Event loop of the replicated log: one green thread, one step and sync for all queued events."""
 
 from __future__ import annotations
 
@@ -32,23 +32,23 @@
 
 log = structlog.get_logger(__name__)
 
-# Proposals that wait for a commit. At 2,000 commits a second this is one second of waiting; more
-# would only be answered after their senders gave up.
+# Proposals that wait for a commit. At 2,000 commits a second this is one second of waiting; further
+# ones would be answered only after their senders had timed out.
 MAX_WAITING_PROPOSALS = 2_000
 BUSY_RETRY_MS = 100
 
 
 class LoopBusyError(TarragonhallError):
-    """Too many proposals wait already; this one was not put in the log."""
+    """Too many proposals are waiting; this one was not logged."""
 
 
 class LeadUnknownError(TarragonhallError):
-    """This member does not lead, or cannot tell what became of the request."""
+    """This member is not the leader, or the outcome of the request is unknown."""
 
 
 @dataclass(slots=True)
 class LoopHooks:
-    """What the loop calls: to send to a peer, on a change of role, and after each step."""
+    """Callbacks of the loop: to send to a peer, on a role change, and after each step."""
 
     send: Callable[[str, object], None]
     on_role: Callable[[RoleChanged], None]
@@ -56,7 +56,7 @@
 
 
 class LogLoop:
-    """Queues events for the replica and hands its outputs to whoever waits for them."""
+    """Queues events for the replica and passes its outputs to the waiting callers."""
 
     __slots__ = (
         "_hooks",
@@ -82,40 +82,40 @@
         self._stopped = False
 
     def run(self) -> None:
-        """Step the replica until stopped, or until its data folder fails."""
+        """Step the replica until `stop` is called or its data folder fails."""
         try:
             while not self._stopped:
                 self._step(self._gather())
         except StorageError as error:
-            # What was not synced was promised to no one. Going on with a folder that failed could
-            # promise what is not there, so this member takes no further part.
+            # Unsynced data was not acknowledged to anyone. With a failed folder this member could
+            # acknowledge data that is not stored, so it stops taking part.
             log.error("group.storage_failed", error=str(error))
             self.failure = error
         finally:
-            self._release_all()
+            self._release_waiters()
             self.replica.close()
 
     def stop(self) -> None:
-        """End the loop after the step at hand."""
+        """End the loop after the current step."""
         self._stopped = True
         self._queue.put(Tick())
 
     def is_leader(self) -> bool:
-        """Return whether this member leads and its lease holds right now."""
+        """Return whether this member is the leader and its lease is valid now."""
         if self._stopped or self.failure is not None:
             return False
         return self.replica.is_leader(self._monotonic())
 
     def waiting(self) -> int:
-        """Return how many requests wait for the log."""
+        """Return the number of requests that wait for the log."""
         return len(self._waiter_by_token)
 
     def propose(self, data: bytes, timeout_s: float) -> object:
-        """Commit data and return the machine's result."""
+        """Commit data and return the state machine's result."""
         if len(self._waiter_by_token) >= MAX_WAITING_PROPOSALS:
-            raise LoopBusyError("too many proposals wait for the log")
+            raise LoopBusyError("too many proposals are waiting for the log")
         token = next(self._tokens)
-        match self._ask(token, ProposeData(token, data), timeout_s):
+        match self._submit(token, ProposeData(token, data), timeout_s):
             case ProposalDone(result=result):
                 return result
             case ProposalLost(not_logged=True, reason=reason) if self.is_leader():
@@ -123,31 +123,31 @@
         raise LeadUnknownError("the proposal may or may not be committed")
 
     def change_member(self, member: Member, remove: bool, replace: bool, timeout_s: float) -> None:
-        """Change the membership by one and wait until it is done."""
+        """Change one member and wait until the change is complete."""
         token = next(self._tokens)
         event = ChangeMember(token, member, remove=remove, replace=replace)
-        match self._ask(token, event, timeout_s):
+        match self._submit(token, event, timeout_s):
             case ProposalDone():
                 return
             case ProposalLost(reason=reason):
                 raise LeadUnknownError(reason or "the change may or may not be committed")
-        raise LeadUnknownError("the change has not ended yet; list the members to see it")
+        raise LeadUnknownError("the change is not complete yet; list the members to see its state")
 
     def confirm(self, timeout_s: float) -> bool:
-        """Return whether a majority confirmed the lead after this was asked."""
+        """Return whether a majority confirmed this leader after the call."""
         token = next(self._tokens)
-        outcome = self._ask(token, ConfirmRead(token), timeout_s)
+        outcome = self._submit(token, ConfirmRead(token), timeout_s)
         return isinstance(outcome, ReadConfirmed)
 
     def receive(self, peer: str, message: object) -> None:
-        """Queue a message of a peer."""
+        """Queue a message received from a peer."""
         self._queue.put(Received(peer, message))
 
     def take_snapshot(self) -> None:
-        """Have a snapshot written and the log shortened."""
+        """Queue a request to write a snapshot and compact the log."""
         self._queue.put(TakeSnapshot())
 
-    def _ask(self, token: int, event: Event, timeout_s: float) -> object:
+    def _submit(self, token: int, event: Event, timeout_s: float) -> object:
         if self._stopped or self.failure is not None:
             return None
         waiter = Waiter()
@@ -161,7 +161,7 @@
             self._waiter_by_token.pop(token, None)
 
     def _gather(self) -> list[Event]:
-        """Wait for an event or the next tick, and take everything that is queued by then."""
+        """Wait for an event or the next tick, and return everything queued by then."""
         events: list[Event] = [Tick()]
         try:
             events.append(self._queue.get(timeout=TICK_SECONDS))
@@ -188,7 +188,7 @@
         if waiter is not None:
             waiter.send(output)
 
-    def _release_all(self) -> None:
+    def _release_waiters(self) -> None:
         self._stopped = True
         for token in list(self._waiter_by_token):
             self._resolve(token, None)
--- a/libs/group/tarragonhall_group/_member.py
+++ b/libs/group/tarragonhall_group/_member.py
@@ -1,4 +1,4 @@
-"""The shell around one member of a replicated log: its loop and its links to the other members."""
+"""One member of a replicated log with its loop and its links to the other members."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 log = structlog.get_logger(__name__)
 
-# Below a request's patience, so that the sender learns of it and can turn to another member.
+# Below the timeout of a request, so that the sender is notified and can try another member.
 PROPOSE_SECONDS = 5.0
-CONFIRM_SECONDS = 1.0
+CONFIRM_TIMEOUT_SECONDS = 1.0
 
 
 @dataclass(slots=True)
 class GroupHooks:
-    """What the member tells its owner: changes of role, and the end of each step."""
+    """Callbacks of the member: on a role change, and after each step."""
 
     on_role: Callable[[RoleChanged], None] = field(default=lambda _changed: None)
     after_step: Callable[[], None] = field(default=lambda: None)
@@ -32,17 +32,24 @@
 class GroupMember:
     """One member of a group. A process runs at most one: its links carry one group's log.
 
-    `founders` maps the founding members' ids to their link addresses; it is empty for a member
-    that waits to be added.
+    `bootstrap_addresses` maps the ids of the initial members to their link addresses; it is empty
+    for a member that waits to be added.
     """
 
-    __slots__ = ("_address_by_peer", "_context", "_founders", "_hooks", "loop", "member_id")
+    __slots__ = (
+        "_address_by_peer",
+        "_bootstrap_addresses",
+        "_context",
+        "_hooks",
+        "loop",
+        "member_id",
+    )
 
     def __init__(
         self,
         folder: str,
         member_id: str,
-        founders: dict[str, str],
+        bootstrap_addresses: dict[str, str],
         machine: Machine,
         context: ProcessContext,
         hooks: GroupHooks | None = None,
@@ -51,69 +58,69 @@
         self.member_id = member_id
         self._context = context
         self._hooks = hooks or GroupHooks()
-        self._founders = founders
+        self._bootstrap_addresses = bootstrap_addresses
         self._address_by_peer: dict[str, str] = {}
         replica = open_replica(
             folder,
             member_id,
             context.link_address,
-            _founding_members(member_id, founders),
+            _bootstrap_members(member_id, bootstrap_addresses),
             machine,
             context.rng,
             context.monotonic(),
             limits,
             started_at=context.started_at,
         )
-        hooks_of_loop = LoopHooks(self._send, self._on_role, self._hooks.after_step)
-        self.loop = LogLoop(replica, context.monotonic, hooks_of_loop)
+        loop_hooks = LoopHooks(self._send, self._on_role, self._hooks.after_step)
+        self.loop = LogLoop(replica, context.monotonic, loop_hooks)
 
     def start(self) -> None:
-        """Begin to take part in the group."""
+        """Start to take part in the group."""
         self._context.hub.handle(LogMessage, self._on_log_message)
         eventlet.spawn_n(self.loop.run)
 
     def stop(self) -> None:
-        """Take no further part."""
+        """Stop taking part in the group."""
         self.loop.stop()
 
     def is_leader(self) -> bool:
-        """Return whether this member leads and its lease holds right now."""
+        """Return whether this member is the leader and its lease is valid now."""
         return self.loop.is_leader()
 
     def leader_address(self) -> str | None:
-        """Return the link address of the leader, where it is known and not this member."""
+        """Return the link address of the leader, None if it is unknown or this member."""
         status = self.loop.replica.status()
         if status.leader is None or status.leader == self.member_id:
             return None
         return self.address_of(status.leader)
 
     def address_of(self, member_id: str) -> str | None:
-        """Return the link address of a member."""
+        """Return the link address of a member, None if it is unknown."""
         for member in self.loop.replica.status().members:
             if member.member_id == member_id:
                 return member.address
-        return self._founders.get(member_id) or self._address_by_peer.get(member_id)
+        return self._bootstrap_addresses.get(member_id) or self._address_by_peer.get(member_id)
 
     def confirm(self) -> bool:
-        """Return whether a majority confirmed, from now on, that this member leads."""
-        return self.is_leader() and self.loop.confirm(CONFIRM_SECONDS)
+        """Return whether a majority confirmed after the call that this member is the leader."""
+        return self.is_leader() and self.loop.confirm(CONFIRM_TIMEOUT_SECONDS)
 
     def _send(self, peer: str, message: object) -> None:
         address = self.address_of(peer)
         if address is None:
             return
-        carried = LogMessage(self.member_id, message, self._context.link_address)
+        log_message = LogMessage(self.member_id, message, self._context.link_address)
         try:
-            self._context.hub.link_to(address).send(carried)
+            self._context.hub.link_to(address).send(log_message)
         except LinkError:
             self._context.metrics.count("group.peer_unreachable")
 
-    def _on_log_message(self, link: Link, carried: LogMessage) -> None:
-        if link.peer.instance != carried.sender and link.peer.address != carried.address:
+    def _on_log_message(self, link: Link, log_message: LogMessage) -> None:
+        if link.peer.instance != log_message.sender and link.peer.address != log_message.address:
             return
         if link.peer.address:
-            self._address_by_peer[carried.sender] = link.peer.address
-        self.loop.receive(carried.sender, carried.message)
+            self._address_by_peer[log_message.sender] = link.peer.address
+        self.loop.receive(log_message.sender, log_message.message)
 
     def _on_role(self, changed: RoleChanged) -> None:
         log.info("group.role", role=changed.role, term=changed.term, leader=changed.leader)
@@ -121,8 +128,8 @@
         self._hooks.on_role(changed)
 
 
-def _founding_members(member_id: str, founders: dict[str, str]) -> list[Member]:
-    """Return the founding members; a member that is none of them waits to be added."""
-    if member_id not in founders:
+def _bootstrap_members(member_id: str, bootstrap_addresses: dict[str, str]) -> list[Member]:
+    """Return the initial members, or an empty list for a member that waits to be added."""
+    if member_id not in bootstrap_addresses:
         return []
-    return [Member(name, "", address) for name, address in founders.items()]
+    return [Member(name, "", address) for name, address in bootstrap_addresses.items()]
--- a/libs/group/tarragonhall_group/_messages.py
+++ b/libs/group/tarragonhall_group/_messages.py
@@ -7,9 +7,9 @@
 
 @record
 class LogMessage:
-    """Carries a message of the replicated log; loss is allowed.
+    """Carries a message of the replicated log; it may be lost.
 
-    `address` is where the sender is reached, for peers that did not know it from their settings.
+    `address` is the sender's link address, for peers whose settings do not have it.
     """
 
     sender: str
--- a/libs/group/tests/join_tests.py
+++ b/libs/group/tests/join_tests.py
@@ -1,4 +1,4 @@
-"""A process that asks to join a group: whom it asks, and how often."""
+"""Join requests of a process: their targets and their number."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 class FakeHub:
-    """Links to members that answer as the group's leader or as others."""
+    """Links to members, one of which answers as the group's leader."""
 
     def __init__(self) -> None:
-        self.asked: list[str] = []
+        self.requested: list[str] = []
         self.down: set[str] = set()
 
     def handle(self, _message_class, _handler) -> None:
@@ -30,44 +30,44 @@
             raise LinkClosedError("down")
 
         def request(_message, _timeout_s) -> JoinHeard:
-            self.asked.append(address)
+            self.requested.append(address)
             return JoinHeard(leads=address == LEADER, leader=LEADER)
 
         return SimpleNamespace(request=request)
 
 
-def joiner(hub: FakeHub) -> Joiner:
+def make_joiner(hub: FakeHub) -> Joiner:
     context = SimpleNamespace(hub=hub, rng=random.Random(1), link_address=ME, monotonic=lambda: 0.0)
     context.availability_zone = "a"
     member = SimpleNamespace(member_id="me")
     return Joiner(member, context, lambda: MEMBERS)
 
 
-def ask(made: Joiner) -> None:
-    made._ask_all(SimpleNamespace(members=[]))
+def request_join(made: Joiner) -> None:
+    made._send_join_requests(SimpleNamespace(members=[]))
     eventlet.sleep(0.01)
 
 
-def test_a_process_that_a_full_group_keeps_waiting_asks_its_leader_only():
-    # A group has all the members that it takes, and six processes more stand by. Asking all ten
-    # members each time they were half of what the members had to answer.
+def test_a_standby_repeats_its_join_request_only_to_the_leader():
+    # A full group has 10 members and 6 standbys. If each standby sent every request to all members,
+    # join requests would be half of all requests that the members answer.
     hub = FakeHub()
-    made = joiner(hub)
-    ask(made)
-    hub.asked.clear()
-    ask(made)
-    assert hub.asked == [LEADER]
+    made = make_joiner(hub)
+    request_join(made)
+    hub.requested.clear()
+    request_join(made)
+    assert hub.requested == [LEADER]
 
 
-def test_when_the_leader_is_gone_all_members_are_asked_again():
-    # A member is lost with its disk and the lead went elsewhere. The process that stands by must
-    # find the new leader, or the group stays one short.
+def test_join_requests_go_to_all_members_after_the_leader_is_lost():
+    # The leader is lost with its disk and another member leads. The standby must find the new
+    # leader, or the group stays one member short.
     hub = FakeHub()
-    made = joiner(hub)
-    ask(made)
+    made = make_joiner(hub)
+    request_join(made)
     hub.down.add(LEADER)
-    ask(made)
-    hub.asked.clear()
-    ask(made)
-    assert set(hub.asked) == set(MEMBERS) - {LEADER}
+    request_join(made)
+    hub.requested.clear()
+    request_join(made)
+    assert set(hub.requested) == set(MEMBERS) - {LEADER}
     assert JoinGroup("me", ME).address == ME
--- a/libs/group/tests/loop_tests.py
+++ b/libs/group/tests/loop_tests.py
@@ -16,12 +16,12 @@
 
 
 class Replica:
-    """A log in memory that commits at once, or loses every proposal."""
+    """An in-memory log that commits at once, never answers, or loses every proposal."""
 
     def __init__(self) -> None:
         self.batches: list[int] = []
         self.lost: ProposalLost | None = None
-        self.silent = False
+        self.unresponsive = False
         self.closed = False
 
     def step(self, events, _now):
@@ -31,7 +31,7 @@
             self.batches.append(len(proposals))
         for event in events:
             match event:
-                case ProposeData(token) if self.silent:
+                case ProposeData(token) if self.unresponsive:
                     pass
                 case ProposeData(token) if self.lost is not None:
                     lost = self.lost
@@ -60,20 +60,20 @@
     assert made.replica.closed
 
 
-def test_what_arrives_together_shares_one_step(loop):
-    # Each step costs a sync. A step for each proposal would make a hundred callers wait for a
-    # hundred syncs in a row.
+def test_queued_proposals_share_one_step(loop):
+    # Each step takes a sync. With one step per proposal, a hundred callers would wait for a hundred
+    # successive syncs.
     threads = [eventlet.spawn(loop.propose, b"a", 1.0) for _ in range(100)]
     assert [thread.wait() for thread in threads] == [b"A"] * 100
     assert loop.replica.batches == [100]
     assert loop.confirm(1.0)
 
 
-def test_beyond_the_bound_a_proposal_is_refused_at_once_and_not_logged(loop, monkeypatch):
-    # The log hangs. Without a bound every caller's proposal would wait in memory until its sender
-    # has long given up; "busy" is true, since the proposal never reached the log.
+def test_a_proposal_beyond_the_limit_is_rejected_at_once_and_not_logged(loop, monkeypatch):
+    # The log hangs. Without a limit every proposal would wait in memory until long after its sender
+    # has timed out. The error is "busy", since the proposal never reached the log.
     monkeypatch.setattr(_loop, "MAX_WAITING_PROPOSALS", 3)
-    loop.replica.silent = True
+    loop.replica.unresponsive = True
     waiting = [eventlet.spawn(loop.propose, b"a", 0.3) for _ in range(3)]
     eventlet.sleep(0.1)
     with pytest.raises(LoopBusyError):
@@ -85,7 +85,7 @@
     assert loop.replica.batches == [3]
 
 
-def test_a_full_log_is_busy_and_a_lost_lead_is_unknown(loop):
+def test_a_full_log_is_busy_and_lost_leadership_is_unknown(loop):
     loop.replica.lost = ProposalLost(0, "one", not_logged=True, reason="too much uncommitted")
     with pytest.raises(LoopBusyError, match="uncommitted"):
         loop.propose(b"a", 1.0)
--- a/libs/group/tests/repair_tests.py
+++ b/libs/group/tests/repair_tests.py
@@ -1,4 +1,4 @@
-"""How a group heals: wiped, replaced, added, retired and silent members."""
+"""Membership repair: wiped, replaced, added, leaving and unresponsive members."""
 
 from __future__ import annotations
 
@@ -6,17 +6,19 @@
 from tarragonhall_group import MemberRepair, RepairLimits, smallest_for_losses
 
 LIMITS = RepairLimits()
-SILENT = LIMITS.silent_s + 1
+UNRESPONSIVE = LIMITS.unresponsive_s + 1
 
 
-def status(silent_by_id: dict[str, float | None], wiped: str = "", led_s: float = 60.0) -> Status:
-    """Return what the leader `a` sees of its peers."""
+def status(
+    since_contact_by_id: dict[str, float | None], wiped: str = "", led_s: float = 60.0
+) -> Status:
+    """Return the status of the leader `a` with its peers."""
     members = [Member("a", "ia", "a:1")]
     peers = {}
-    for member_id, silent in silent_by_id.items():
+    for member_id, since_contact in since_contact_by_id.items():
         members.append(Member(member_id, f"i{member_id}", f"{member_id}:1"))
         other = "new" if member_id == wiped else ""
-        peers[member_id] = PeerStatus(1, silent, other)
+        peers[member_id] = PeerStatus(1, since_contact, other)
     return Status("a", "leader", 2, "a", 9, 9, 9, members, "ia", "a:1", peers, 0.0, led_s)
 
 
@@ -24,89 +26,90 @@
     return made.next_change(seen, leaving, 1, now)
 
 
-def test_a_healthy_group_is_left_alone():
+def test_a_healthy_group_is_not_changed():
     assert change(MemberRepair(), status({"b": 0.1, "c": 0.1})) is None
 
 
 def test_a_member_that_lost_its_disk_is_replaced_at_once():
-    # The machine came back at its address with an empty folder. Left as it is, the group could not
-    # lose another member, and the empty one must not vote as the member it was.
+    # The machine returned at its address with an empty folder. Until it is replaced, the group
+    # cannot lose another member, and the wiped one must not vote as the former member.
     found = change(MemberRepair(), status({"b": 0.1, "c": 9.0}, wiped="c"))
     assert found.replace
     assert found.member.member_id == "c"
 
 
-def test_a_new_machine_is_added_before_the_dead_one_is_taken_out():
-    # A machine is gone for good and another one asks to join. Taken out first, the group of two
-    # would stop at the next loss, with half of its commits on one disk.
+def test_a_new_machine_is_added_before_the_dead_one_is_removed():
+    # A machine is lost permanently and another one requests to join. If the dead one were removed
+    # first, the group of two would stop at the next loss, and that loss could leave one copy of
+    # commits.
     made = MemberRepair()
-    made.ask("d", "d:1", now=0.0)
-    found = change(made, status({"b": 0.1, "c": SILENT}))
+    made.add_request("d", "d:1", now=0.0)
+    found = change(made, status({"b": 0.1, "c": UNRESPONSIVE}))
     assert (found.member.member_id, found.remove) == ("d", False)
-    after = status({"b": 0.1, "c": SILENT, "d": 0.1})
+    after = status({"b": 0.1, "c": UNRESPONSIVE, "d": 0.1})
     found = change(made, after)
     assert (found.member.member_id, found.remove) == ("c", True)
 
 
-def test_a_silent_member_stays_while_nobody_can_take_its_place():
-    assert change(MemberRepair(), status({"b": 0.1, "c": SILENT})) is None
+def test_an_unresponsive_member_stays_without_a_replacement():
+    assert change(MemberRepair(), status({"b": 0.1, "c": UNRESPONSIVE})) is None
 
 
-def test_a_new_leader_takes_nobody_for_silent():
-    # It has heard from nobody yet; taking healthy members out would leave the group with too few.
+def test_a_new_leader_treats_nobody_as_unresponsive():
+    # It has had no contact yet; removing healthy members would leave the group with too few.
     seen = status({"b": 0.1, "c": 0.1, "d": None}, led_s=0.5)
     assert change(MemberRepair(), seen) is None
 
 
-def test_who_stopped_asking_is_not_added():
+def test_a_process_without_a_recent_request_is_not_added():
     made = MemberRepair()
-    made.ask("d", "d:1", now=0.0)
-    assert change(made, status({"b": 0.1, "c": 0.1}), now=LIMITS.joiner_valid_s + 1) is None
+    made.add_request("d", "d:1", now=0.0)
+    assert change(made, status({"b": 0.1, "c": 0.1}), now=LIMITS.join_request_valid_s + 1) is None
 
 
-def test_a_leaving_member_goes_and_is_not_taken_back():
+def test_a_leaving_member_is_removed_and_not_added_again():
     made = MemberRepair()
     seen = status({"b": 0.1, "c": 0.1, "d": 0.1})
     found = change(made, seen, leaving=frozenset({"d"}))
     assert (found.member.member_id, found.remove) == ("d", True)
-    made.ask("d", "d:1", now=0.0)
+    made.add_request("d", "d:1", now=0.0)
     assert change(made, status({"b": 0.1, "c": 0.1}), leaving=frozenset({"d"})) is None
 
 
-def test_the_leader_itself_leaves_last():
+def test_the_leader_itself_is_removed_last():
     seen = status({"b": 0.1, "c": 0.1, "d": 0.1})
     leaving = frozenset({"a", "d"})
     assert change(MemberRepair(), seen, leaving).member.member_id == "d"
     assert change(MemberRepair(), status({"b": 0.1, "c": 0.1}), leaving).member.member_id == "a"
 
 
-def test_a_leaving_member_stays_while_too_few_others_live():
-    seen = status({"b": 0.1, "c": SILENT})
+def test_a_leaving_member_stays_while_too_few_others_are_responsive():
+    seen = status({"b": 0.1, "c": UNRESPONSIVE})
     assert change(MemberRepair(), seen, leaving=frozenset({"a"})) is None
 
 
-def test_a_group_that_bears_its_losses_takes_no_more_members():
-    # Seven stores stand by beside a group of three. Each that is taken in is one more copy of every
-    # turn that is kept, and commits wait for more disks.
+def test_a_full_group_adds_no_members():
+    # Seven stores are standbys of a group of three. Each one added would mean one more copy of
+    # every stored turn, and commits would wait for more disks.
     made = MemberRepair(smallest_for_losses(1))
-    made.ask("d", "d:1", now=0.0)
+    made.add_request("d", "d:1", now=0.0)
     assert change(made, status({"b": 0.1, "c": 0.1})) is None
 
 
-def test_a_store_that_stands_by_takes_the_place_of_a_silent_member():
+def test_a_standby_replaces_an_unresponsive_member():
     made = MemberRepair(smallest_for_losses(1))
-    made.ask("d", "d:1", now=0.0)
-    assert change(made, status({"b": 0.1, "c": SILENT})).member.member_id == "d"
-    made.ask("e", "e:1", now=0.0)
-    found = change(made, status({"b": 0.1, "c": SILENT, "d": 0.1}))
+    made.add_request("d", "d:1", now=0.0)
+    assert change(made, status({"b": 0.1, "c": UNRESPONSIVE})).member.member_id == "d"
+    made.add_request("e", "e:1", now=0.0)
+    found = change(made, status({"b": 0.1, "c": UNRESPONSIVE, "d": 0.1}))
     assert (found.member.member_id, found.remove) == ("c", True)
 
 
-def test_a_store_that_stands_by_is_taken_in_before_a_member_leaves():
-    # A member is to be emptied and taken away. Gone first, the group of two would stop at the next
-    # loss.
+def test_a_standby_is_added_before_a_member_leaves():
+    # A member is to be drained and retired. If it were removed before a standby is added, the group
+    # of two would stop at the next loss.
     made = MemberRepair(smallest_for_losses(1))
-    made.ask("d", "d:1", now=0.0)
+    made.add_request("d", "d:1", now=0.0)
     leaving = frozenset({"c"})
     seen = status({"b": 0.1, "c": 0.1})
     found = change(made, seen, leaving)
@@ -115,36 +118,36 @@
     assert (found.member.member_id, found.remove) == ("c", True)
 
 
-def test_members_that_come_and_go_do_not_let_a_group_grow_without_end():
-    # A cut hides two members; those that stand by are added, and so on at each cut.
+def test_repeated_partitions_do_not_grow_a_group_without_limit():
+    # A partition makes two members unreachable; standbys are added, and so on at each partition.
     made = MemberRepair(smallest_for_losses(1))
-    made.ask("e", "e:1", now=0.0)
-    assert change(made, status({"b": SILENT, "c": SILENT, "d": 0.1})) is None
+    made.add_request("e", "e:1", now=0.0)
+    assert change(made, status({"b": UNRESPONSIVE, "c": UNRESPONSIVE, "d": 0.1})) is None
 
 
-def test_a_member_that_leaves_waits_for_one_that_is_about_to_ask():
-    # A store was just started and another one is to be emptied. Had the old one gone before the new
-    # one asked, the group of two would have stopped at the next loss.
+def test_a_leaving_member_waits_for_a_standby_to_send_a_request():
+    # A store was just started and another one is to be retired. If the old one were removed before
+    # the new one sends a request, the group of two would stop at the next loss.
     made = MemberRepair(smallest_for_losses(1))
     seen = status({"b": 0.1, "c": 0.1})
     leaving = frozenset({"c"})
     assert change(made, seen, leaving, now=0.0) is None
     assert change(made, seen, leaving, now=1.0) is None
-    # Nobody asks; the operator is not kept waiting for ever.
+    # Without a request, the removal proceeds after a limited time.
     assert change(made, seen, leaving, now=4.0).member.member_id == "c"
 
 
-def test_a_member_of_the_leaders_zone_is_taken_in_first():
-    # Guards against a group that strays over all zones, one lost member after the other.
+def test_a_process_in_the_leaders_zone_is_added_first():
+    # Otherwise a group would spread over all zones, one lost member after another.
     made = MemberRepair(smallest_for_losses(1))
-    made.ask("d", "d:1", now=0.0, near=False)
-    made.ask("e", "e:1", now=0.0, near=True)
-    assert change(made, status({"b": 0.1, "c": SILENT})).member.member_id == "e"
+    made.add_request("d", "d:1", now=0.0, same_zone=False)
+    made.add_request("e", "e:1", now=0.0, same_zone=True)
+    assert change(made, status({"b": 0.1, "c": UNRESPONSIVE})).member.member_id == "e"
 
 
-def test_whoever_asked_first_is_taken_in_where_zones_may_be_lost():
-    # Guards against a group in one zone that goes with it.
+def test_the_first_request_wins_where_a_zone_loss_must_be_survived():
+    # Otherwise a group could be in a single zone and be lost with it.
     made = MemberRepair(smallest_for_losses(1, zone_losses_borne=1))
-    made.ask("d", "d:1", now=0.0, near=False)
-    made.ask("e", "e:1", now=0.0, near=True)
-    assert change(made, status({"b": 0.1, "c": SILENT})).member.member_id == "d"
+    made.add_request("d", "d:1", now=0.0, same_zone=False)
+    made.add_request("e", "e:1", now=0.0, same_zone=True)
+    assert change(made, status({"b": 0.1, "c": UNRESPONSIVE})).member.member_id == "d"
