--- a/libs/sidecar/tarragonhall_sidecar/_answers.py
+++ b/libs/sidecar/tarragonhall_sidecar/_answers.py
@@ -1,8 +1,9 @@
-"""Checks that an engine's stream is the whole answer to one attempt, and no one else's.
+"""Validates that an engine's event stream is the complete answer to one attempt.
 
-An engine may mix up two streams, send a part twice or end early. A caller would then read another
-caller's text, or half of its own, and never know. Every event names its attempt, every token its
-index, and the terminal event the lengths; text is passed on only from events that fit.
+An engine may mix up two streams, send a token twice or end early. The caller would then read
+another caller's text, or half of its own, without an error. Every event names its attempt, every
+token its index and the terminal event the total lengths; only text of consistent events is
+forwarded.
 """
 
 from __future__ import annotations
@@ -11,101 +12,101 @@
 
 from tarragonhall_model import Answer, TarragonhallError, Usage
 
-# One event holds one token; anything larger is not the engine's protocol.
+# An event holds one token; a larger one violates the engine's protocol.
 MAX_EVENT_BYTES = 64 * 1024
-EVENT_END = b"\n\n"
+EVENT_SEPARATOR = b"\n\n"
 
 
 class AnswerError(TarragonhallError):
-    """What came is not the whole answer to this attempt."""
+    """The received data is not the complete answer to this attempt."""
 
 
 class AnswerStream:
-    """Reads the engine's events for one attempt."""
+    """Parses and validates the engine's events for one attempt."""
 
-    __slots__ = ("_attempt_key", "_buffer", "_length", "_max_tokens", "_parts", "_seen",
-                 "answer", "cancelled")  # fmt: skip
+    __slots__ = ("_attempt_key", "_buffer", "_character_count", "_max_tokens", "_parts",
+                 "_token_count", "answer", "cancelled")  # fmt: skip
 
     def __init__(self, attempt_key: str, max_tokens: int) -> None:
         self._attempt_key = attempt_key
         self._max_tokens = max_tokens
         self._buffer = b""
         self._parts: list[str] = []
-        self._seen = 0
-        self._length = 0
+        self._token_count = 0
+        self._character_count = 0
         self.answer: Answer | None = None
         self.cancelled = False
 
     @property
     def over_limit(self) -> bool:
-        """Return whether the engine generates beyond the tokens that the call may use."""
-        return self._seen > self._max_tokens
+        """Return whether the engine has generated more tokens than the call may use."""
+        return self._token_count > self._max_tokens
 
     def feed(self, data: bytes) -> str:
-        """Take bytes and return the new text; raise `AnswerError` where they do not fit."""
+        """Parse more bytes and return the new text; raise `AnswerError` if they are invalid."""
         self._buffer += data
-        *events, self._buffer = self._buffer.split(EVENT_END)
+        *events, self._buffer = self._buffer.split(EVENT_SEPARATOR)
         if len(self._buffer) > MAX_EVENT_BYTES:
-            raise AnswerError("an event is too long")
+            raise AnswerError(f"an event is longer than {MAX_EVENT_BYTES} bytes")
         before = len(self._parts)
         for event in events:
             if self.answer is None:
-                self._take(event)
+                self._read_event(event)
         return "".join(self._parts[before:])
 
-    def _take(self, event: bytes) -> None:
-        kind, fields = _parse(event)
+    def _read_event(self, event: bytes) -> None:
+        kind, fields = _parse_event(event)
         if fields.get("attempt") != self._attempt_key:
-            raise AnswerError("the engine sent the answer to another attempt")
+            raise AnswerError("the engine sent an event of another attempt")
         if kind == "token":
-            self._take_token(_number(fields, "index"), _text(fields, "text"))
+            self._read_token(_int_field(fields, "index"), _text_field(fields, "text"))
         elif kind == "done":
-            self._take_end(fields)
+            self._read_done(fields)
 
-    def _take_token(self, index: int, text: str) -> None:
-        if index < self._seen:
+    def _read_token(self, index: int, text: str) -> None:
+        if index < self._token_count:
             return
-        if index > self._seen:
-            raise AnswerError("a part of the answer is missing")
-        self._seen += 1
-        self._length += len(text)
+        if index > self._token_count:
+            raise AnswerError("a token of the answer is missing")
+        self._token_count += 1
+        self._character_count += len(text)
         if not self.over_limit:
             self._parts.append(text)
 
-    def _take_end(self, fields: dict) -> None:
-        lengths = (_number(fields, "tokens"), _number(fields, "characters"))
-        if lengths != (self._seen, self._length):
-            raise AnswerError("the answer's lengths do not fit its terminal event")
-        self.cancelled = _text(fields, "reason") == "cancelled" and not self.over_limit
+    def _read_done(self, fields: dict) -> None:
+        lengths = (_int_field(fields, "tokens"), _int_field(fields, "characters"))
+        if lengths != (self._token_count, self._character_count):
+            raise AnswerError("the answer's lengths differ from those in its terminal event")
+        self.cancelled = _text_field(fields, "reason") == "cancelled" and not self.over_limit
         usage = Usage(
-            prompt=_number(fields, "prompt_tokens"),
-            cached=_number(fields, "cached_tokens"),
+            prompt=_int_field(fields, "prompt_tokens"),
+            cached=_int_field(fields, "cached_tokens"),
             generated=len(self._parts),
         )
         self.answer = Answer("".join(self._parts), usage)
 
 
-def _number(fields: dict, name: str) -> int:
+def _int_field(fields: dict, name: str) -> int:
     value = fields.get(name)
     if isinstance(value, bool) or not isinstance(value, int):
-        raise AnswerError(f"an event's {name} is not a number")
+        raise AnswerError(f"an event's {name} is not an integer")
     return value
 
 
-def _text(fields: dict, name: str) -> str:
+def _text_field(fields: dict, name: str) -> str:
     value = fields.get(name)
     if not isinstance(value, str):
-        raise AnswerError(f"an event's {name} is not text")
+        raise AnswerError(f"an event's {name} is not a string")
     try:
-        # JSON can spell half a surrogate pair. No link can carry it, so it would be lost on the way
-        # with the link's other messages; it is refused here, for this attempt alone.
+        # JSON can encode half a surrogate pair, which a link cannot encode: it would be lost
+        # together with the link's other messages. Rejecting it here fails only this attempt.
         value.encode()
     except UnicodeEncodeError as error:
-        raise AnswerError(f"an event's {name} is not Unicode") from error
+        raise AnswerError(f"an event's {name} is not valid Unicode") from error
     return value
 
 
-def _parse(event: bytes) -> tuple[str, dict]:
+def _parse_event(event: bytes) -> tuple[str, dict]:
     kind, fields = "", None
     for line in event.decode(errors="replace").split("\n"):
         name, _, value = line.partition(": ")
@@ -114,7 +115,7 @@
         elif name == "data":
             fields = _parse_data(value)
     if fields is None:
-        raise AnswerError("an event without data")
+        raise AnswerError("an event has no data")
     return kind, fields
 
 
@@ -122,7 +123,7 @@
     try:
         fields = json.loads(text)
     except ValueError as error:
-        raise AnswerError(f"an event is not JSON: {error}") from error
+        raise AnswerError(f"an event's data is not JSON: {error}") from error
     if not isinstance(fields, dict):
-        raise AnswerError("an event is not an object")
+        raise AnswerError("an event's data is not a JSON object")
     return fields
--- a/libs/sidecar/tarragonhall_sidecar/_attempt.py
+++ b/libs/sidecar/tarragonhall_sidecar/_attempt.py
@@ -1,4 +1,4 @@
-"""What the core keeps of its server and of each attempt."""
+"""State that the core holds for its server and for each attempt."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Identity:
-    """Which life of which backend server this is, and what it serves."""
+    """The sidecar's backend server, its own incarnation, and the server's kind and slots."""
 
     server_id: str
     incarnation: str
@@ -21,7 +21,7 @@
 
 
 class State(enum.Enum):
-    """Where an attempt stands."""
+    """State of an attempt; `BROKEN` is a run that lost its connection and awaits a probe."""
 
     WAITING = "waiting"
     RUNNING = "running"
@@ -31,22 +31,23 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One accepted attempt, until its end is in the journal.
+    """One accepted attempt, held until its end is acknowledged or in the journal.
 
-    `cancel_again_at` is set once its cancel was asked for, and says when to ask the engine again.
+    `server_incarnation` is that of the backend server when the run started, empty if unknown.
+    `cancel_retry_at` is None until a cancel is sent; then the time to send it again.
     """
 
     dispatch: Dispatch
-    order: int
+    arrival_number: int
     deadline: float
     peers: set[PeerId]
     state: State = State.WAITING
     chunks: list[str] = field(default_factory=list)
-    life: str = ""
+    server_incarnation: str = ""
     end: AttemptEnded | None = None
     ended_at: float = 0.0
     committing: bool = False
-    cancel_again_at: float | None = None
+    cancel_retry_at: float | None = None
 
     @property
     def key(self) -> str:
@@ -55,7 +56,7 @@
 
     @property
     def end_bytes(self) -> int:
-        """Return about how much memory the kept answer takes."""
+        """Return the approximate memory of the stored answer: its length in characters."""
         if self.end is None or self.end.answer is None:
             return 0
         return len(self.end.answer.text)
--- a/libs/sidecar/tarragonhall_sidecar/_backend.py
+++ b/libs/sidecar/tarragonhall_sidecar/_backend.py
@@ -1,8 +1,8 @@
-"""HTTP to the backend server: runs, probes, cache and orders.
+"""HTTP client of the backend server: runs, probes, cache listings and orders.
 
-Every run has a connection of its own. On a connection that was kept open and idle, something
-between the two ends may have lost track of it; a call sent there disappears, and whether it took
-effect can never be told. A fresh connection that is refused proves that nothing was sent.
+Every run opens its own connection. A middlebox may have dropped the state of an idle keep-alive
+connection; a call sent on it is lost, and whether it took effect cannot be determined. A new
+connection that is refused proves that nothing was sent.
 """
 
 from __future__ import annotations
@@ -26,17 +26,18 @@
 from urllib3.connection import HTTPConnection
 
 from tarragonhall_sidecar._answers import AnswerError, AnswerStream
-from tarragonhall_sidecar._events import Broke, Finished, Probed
+from tarragonhall_sidecar._events import ConnectionLost, ProbeResult, RunFinished
 from tarragonhall_sidecar._reconcile import Listing
 
 ATTEMPT_HEADER = "X-Attempt-Id"
-CONNECT_SECONDS = 2.0
-# Probes, listings and cancels are small; a healthy server answers them between two tokens.
-CONTROL_SECONDS = 2.0
-# Loading a model's weights takes long, and its answer says whether it was done.
+CONNECT_TIMEOUT_SECONDS = 2.0
+# For probes, listings and cancels, which a healthy server answers between two tokens.
+CONTROL_TIMEOUT_SECONDS = 2.0
+# The engine answers only after it has loaded the model's weights.
 ORDER_SECONDS = 120.0
-# Tokens that come faster than this travel together: a reader sees no difference, a link does.
-CHUNK_SECONDS = 0.02
+# Tokens within this interval share one message: a reader sees no difference, and the link carries
+# fewer messages.
+CHUNK_INTERVAL_SECONDS = 0.02
 MAX_ANSWER_BYTES = 4 * 1024 * 1024
 
 TRANSPORT_ERRORS = (urllib3.exceptions.HTTPError, http.client.HTTPException, OSError)
@@ -44,79 +45,81 @@
 
 
 class BackendError(TarragonhallError):
-    """The backend server did not answer a request that may be repeated."""
+    """A repeatable request to the backend server failed."""
 
 
 class _NotSentError(Exception):
-    """No connection came about, so the backend server cannot have seen the request."""
+    """The connection attempt failed, so the backend server cannot have seen the request."""
 
 
 class _DeadlineError(Exception):
-    """The time of the run is over."""
+    """The deadline of the run has passed."""
 
 
 class Backend:
-    """One backend server as its sidecar sees it."""
+    """HTTP client of one backend server."""
 
-    __slots__ = ("_host", "_port", "_progress_seconds")
+    __slots__ = ("_host", "_port", "_progress_timeout_s")
 
-    def __init__(self, address: str, progress_seconds: float) -> None:
+    def __init__(self, address: str, progress_timeout_s: float) -> None:
         host, _, port = address.rpartition(":")
         self._host = host
         self._port = int(port)
-        self._progress_seconds = progress_seconds
+        self._progress_timeout_s = progress_timeout_s
 
     def run(
         self, dispatch: Dispatch, seconds_left: float, on_text: Callable[[str], None]
-    ) -> Finished | Broke:
-        """Run an attempt to its end; `on_text` gets the parts of a streamed answer."""
+    ) -> RunFinished | ConnectionLost:
+        """Run an attempt until it ends; `on_text` receives the parts of a streamed answer."""
         key = dispatch.attempt.key
         try:
             with eventlet.Timeout(seconds_left, _DeadlineError):
                 return self._run(dispatch, seconds_left, on_text)
         except _NotSentError as error:
-            return Finished(key, AttemptOutcome.NOT_RUN, detail=f"not connected: {error}")
+            return RunFinished(key, AttemptOutcome.NOT_RUN, detail=f"not connected: {error}")
         except AnswerError as error:
-            self.cancel_quietly(dispatch)
-            return Finished(key, AttemptOutcome.FAILED, detail=str(error))
+            self.cancel_in_background(dispatch)
+            return RunFinished(key, AttemptOutcome.FAILED, detail=str(error))
         except _DeadlineError:
-            self.cancel_quietly(dispatch)
-            return Finished(key, AttemptOutcome.TIMED_OUT, detail="its deadline passed")
+            self.cancel_in_background(dispatch)
+            return RunFinished(key, AttemptOutcome.TIMED_OUT, detail="its deadline passed")
         except TIMEOUT_ERRORS:
-            self.cancel_quietly(dispatch)
-            return Finished(key, AttemptOutcome.TIMED_OUT, detail="no progress")
+            self.cancel_in_background(dispatch)
+            return RunFinished(key, AttemptOutcome.TIMED_OUT, detail="no progress")
         except TRANSPORT_ERRORS as error:
-            return Broke(key, f"the connection broke: {error}")
+            return ConnectionLost(key, f"the connection broke: {error}")
 
-    def cancel_quietly(self, dispatch: Dispatch) -> None:
-        """Ask an engine to stop a run, in the background and without caring for the answer."""
+    def cancel_in_background(self, dispatch: Dispatch) -> None:
+        """Request an engine to stop a run, in the background; errors are ignored."""
         if dispatch.spec.kind is CallKind.MODEL:
             eventlet.spawn_n(self._try_cancel, dispatch.attempt.key)
 
-    def probe(self) -> Probed:
-        """Tell whether the server answers at all."""
+    def probe(self) -> ProbeResult:
+        """Probe the server's health endpoint."""
         try:
-            connection = self._connect(CONTROL_SECONDS)
+            connection = self._connect(CONTROL_TIMEOUT_SECONDS)
         except _NotSentError as error:
-            return Probed(False, refused=isinstance(error.__cause__, ConnectionRefusedError))
+            return ProbeResult(False, refused=isinstance(error.__cause__, ConnectionRefusedError))
         try:
-            with _responding(connection, "GET", "/health") as response:
+            with _open_response(connection, "GET", "/health") as response:
                 body = response.read(MAX_ANSWER_BYTES)
         except TRANSPORT_ERRORS:
-            return Probed(False)
+            return ProbeResult(False)
         finally:
             connection.close()
-        return Probed(True, life=_life_in(body))
+        return ProbeResult(True, server_incarnation=_parse_server_incarnation(body))
 
-    def ask(self, method: str, path: str, value: object = None, seconds=CONTROL_SECONDS) -> dict:
-        """Make a repeatable request of an engine; raise `BackendError` unless it is answered."""
+    def request(
+        self, method: str, path: str, value: object = None, timeout_s=CONTROL_TIMEOUT_SECONDS
+    ) -> dict:
+        """Send a repeatable request to an engine; raise `BackendError` unless it succeeds."""
         body = None if value is None else json.dumps(value).encode()
         try:
-            connection = self._connect(seconds)
+            connection = self._connect(timeout_s)
         except _NotSentError as error:
             raise BackendError(f"{path}: {error}") from error
         try:
-            with _responding(connection, method, path, body) as response:
+            with _open_response(connection, method, path, body) as response:
                 data = response.read(MAX_ANSWER_BYTES)
                 status = response.status
             if status != 200:
@@ -128,8 +131,8 @@
             connection.close()
 
     def listing(self) -> Listing:
-        """Return what the engine holds memory for, most recently used first."""
-        value = self.ask("GET", "/v1/held")
+        """Return the programs whose prefixes the engine holds, most recently used first."""
+        value = self.request("GET", "/v1/held")
         try:
             tokens_by_program = {item["program"]: item["tokens"] for item in value["programs"]}
         except (KeyError, TypeError) as error:
@@ -137,29 +140,29 @@
         return Listing(tokens_by_program, value.get("capacity"))
 
     def running(self) -> list[str]:
-        """Return the attempts that the engine runs or has in its queue."""
+        """Return the keys of the attempts that the engine runs or has queued."""
         try:
-            return list(self.ask("GET", "/v1/running")["attempts"])
+            return list(self.request("GET", "/v1/running")["attempts"])
         except (KeyError, TypeError) as error:
             raise BackendError(f"/v1/running: lacks {error}") from error
 
     def cancel(self, key: str) -> None:
-        """Ask the engine to stop an attempt; its listing shows if it did."""
-        self.ask("POST", "/v1/cancel", {"attempt": key})
+        """Request the engine to stop an attempt; `running` shows whether it did."""
+        self.request("POST", "/v1/cancel", {"attempt": key})
 
     def release(self, program_id: str) -> None:
-        """Ask the engine to free what it holds for a program; its listing shows if it did."""
-        self.ask("POST", "/v1/release", {"program": program_id})
+        """Request the engine to free a program's memory; `listing` shows whether it did."""
+        self.request("POST", "/v1/release", {"program": program_id})
 
     def loaded(self) -> dict[str, str]:
-        """Return the version of each model that the engine says it has loaded."""
-        found = self.ask("GET", "/health").get("loaded", {})
+        """Return the version of each model that the engine reports as loaded."""
+        found = self.request("GET", "/health").get("loaded", {})
         if not isinstance(found, dict):
-            raise BackendError("/health: loaded is no object")
+            raise BackendError("/health: loaded is not an object")
         return {str(model): str(version) for model, version in found.items()}
 
-    def order(self, order: EngineOrder) -> None:
-        """Give the engine an order and wait until it has carried it out."""
+    def send_order(self, order: EngineOrder) -> None:
+        """Send an order to the engine and wait until it is executed."""
         fields = {
             "order": order.order_id,
             "fencing": order.fencing,
@@ -167,27 +170,27 @@
             "model": order.model,
             "version": order.version,
         }
-        self.ask("POST", "/v1/orders", fields, ORDER_SECONDS)
+        self.request("POST", "/v1/orders", fields, ORDER_SECONDS)
 
-    def _run(self, dispatch: Dispatch, seconds_left: float, on_text: Callable) -> Finished:
+    def _run(self, dispatch: Dispatch, seconds_left: float, on_text: Callable) -> RunFinished:
         if dispatch.spec.kind is CallKind.MODEL:
-            with self._connection(self._progress_seconds) as connection:
+            with self._connection(self._progress_timeout_s) as connection:
                 return self._generate(connection, dispatch, on_text)
         with self._connection(seconds_left) as connection:
             return _call_service(connection, dispatch)
 
-    def _generate(self, connection, dispatch: Dispatch, on_text: Callable) -> Finished:
+    def _generate(self, connection, dispatch: Dispatch, on_text: Callable) -> RunFinished:
         body = _generate_body(dispatch)
-        with _responding(connection, "POST", "/v1/generate", body) as response:
+        with _open_response(connection, "POST", "/v1/generate", body) as response:
             if response.status != 200:
                 detail = f"the engine answered with status {response.status}"
-                return Finished(dispatch.attempt.key, AttemptOutcome.FAILED, detail=detail)
+                return RunFinished(dispatch.attempt.key, AttemptOutcome.FAILED, detail=detail)
             return self._read_answer(response, dispatch, on_text)
 
-    def _read_answer(self, response, dispatch: Dispatch, on_text: Callable) -> Finished:
+    def _read_answer(self, response, dispatch: Dispatch, on_text: Callable) -> RunFinished:
         key = dispatch.attempt.key
         stream = AnswerStream(key, dispatch.spec.max_tokens)
-        pacer = _ChunkPacer(on_text if dispatch.spec.stream else _no_text)
+        pacer = _ChunkPacer(on_text if dispatch.spec.stream else _discard_text)
         stopping = False
         while stream.answer is None:
             data = response.read1(MAX_ANSWER_BYTES)
@@ -196,10 +199,10 @@
             pacer.add(stream.feed(data))
             if stream.over_limit and not stopping:
                 stopping = True
-                self.cancel_quietly(dispatch)
+                self.cancel_in_background(dispatch)
         pacer.flush()
         outcome = AttemptOutcome.CANCELLED if stream.cancelled else AttemptOutcome.ANSWERED
-        return Finished(key, outcome, stream.answer)
+        return RunFinished(key, outcome, stream.answer)
 
     @contextmanager
     def _connection(self, timeout_s: float) -> Iterator[HTTPConnection]:
@@ -210,7 +213,7 @@
             connection.close()
 
     def _connect(self, timeout_s: float) -> HTTPConnection:
-        connection = HTTPConnection(self._host, self._port, timeout=CONNECT_SECONDS)
+        connection = HTTPConnection(self._host, self._port, timeout=CONNECT_TIMEOUT_SECONDS)
         try:
             connection.connect()
         except TRANSPORT_ERRORS as error:
@@ -228,7 +231,7 @@
 
 
 class _ChunkPacer:
-    """Joins parts of an answer that come in quick succession."""
+    """Batches parts of an answer that arrive within `CHUNK_INTERVAL_SECONDS`."""
 
     __slots__ = ("_flushed_at", "_on_text", "_text")
 
@@ -239,7 +242,7 @@
 
     def add(self, text: str) -> None:
         self._text += text
-        if time.monotonic() - self._flushed_at >= CHUNK_SECONDS:
+        if time.monotonic() - self._flushed_at >= CHUNK_INTERVAL_SECONDS:
             self.flush()
 
     def flush(self) -> None:
@@ -249,39 +252,39 @@
         self._flushed_at = time.monotonic()
 
 
-def _no_text(_text: str) -> None:
+def _discard_text(_text: str) -> None:
     return
 
 
-def _call_service(connection: HTTPConnection, dispatch: Dispatch) -> Finished:
+def _call_service(connection: HTTPConnection, dispatch: Dispatch) -> RunFinished:
     key = dispatch.attempt.key
     headers = {"Content-Type": "application/json", ATTEMPT_HEADER: key}
     body = dispatch.spec.body.encode()
     path = f"/{dispatch.spec.target}"
-    with _responding(connection, "POST", path, body, headers) as response:
+    with _open_response(connection, "POST", path, body, headers) as response:
         # A service that does not echo the header is matched by its connection, used only once.
         if response.headers.get(ATTEMPT_HEADER, key) != key:
             raise AnswerError("the service sent the answer to another attempt")
         if response.length_remaining is None and not response.chunked:
-            raise AnswerError("the service did not say how long its answer is")
+            raise AnswerError("the service's answer has neither a length nor chunked encoding")
         data = response.read(MAX_ANSWER_BYTES + 1)
     if len(data) > MAX_ANSWER_BYTES:
         raise AnswerError(f"the answer is longer than {MAX_ANSWER_BYTES} bytes")
     answer = Answer(data.decode(errors="replace"), status=response.status)
-    return Finished(key, AttemptOutcome.ANSWERED, answer)
+    return RunFinished(key, AttemptOutcome.ANSWERED, answer)
 
 
 @contextmanager
-def _responding(
+def _open_response(
     connection: HTTPConnection, method: str, path: str, body: bytes | None = None, headers=None
 ) -> Iterator[urllib3.HTTPResponse]:
-    """Send a request and give its response, unread: a stream must not be read to its end first."""
+    """Send a request and yield its unread response, so that a stream can be read as it arrives."""
     connection.request(method, path, body=body, headers=headers, preload_content=False)
     response = connection.getresponse()
     try:
         yield response
     finally:
-        # The connection alone lets go of a socket that its response still reads from.
+        # Closing the connection does not close a socket that its response still reads from.
         response.close()
 
 
@@ -303,7 +306,7 @@
     return json.dumps(fields).encode()
 
 
-def _life_in(body: bytes) -> str:
+def _parse_server_incarnation(body: bytes) -> str:
     try:
         value = json.loads(body)
     except ValueError:
--- a/libs/sidecar/tarragonhall_sidecar/_commits.py
+++ b/libs/sidecar/tarragonhall_sidecar/_commits.py
@@ -1,4 +1,4 @@
-"""What a sidecar itself puts in the journal: ends that no entry acknowledged, and crashes."""
+"""Commits to the journal by a sidecar: ends that no entry acknowledged, and crashes."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 
 from tarragonhall_sidecar._events import CommitEnd
 
-PROPOSE_SECONDS = 5.0
-# A leader change takes a second or two; asking more often only loads the new one.
-PROPOSE_AGAIN_SECONDS = 0.5
+PROPOSE_TIMEOUT_SECONDS = 5.0
+# A leader change takes a second or two; more frequent retries only load the new leader.
+PROPOSE_RETRY_SECONDS = 0.5
 
 
 class Committer:
-    """Proposes until control has it; a resend under the same request id takes effect once."""
+    """Proposes commands until control commits them; a request id takes effect only once."""
 
     __slots__ = ("_control", "_incarnation", "_metrics", "stopped")
 
@@ -37,31 +37,31 @@
         self.stopped = False
 
     def commit_end(self, commit: CommitEnd) -> bool:
-        """Put an end in the journal; return whether it is there."""
+        """Commit an end to the journal; return False only if stopped before that."""
         self._metrics.count("sidecar.late_end")
         request_id = f"end-{self._incarnation}-{commit.end.attempt.key}"
-        return self._until_done(command_for(commit), request_id)
+        return self._propose_until_accepted(command_for(commit), request_id)
 
     def report_crash(self, report: ReportCrash) -> None:
-        """Put a crash in the journal; without control, go on trying in the background.
+        """Commit a crash to the journal; if control is unreachable, retry in the background.
 
-        The entries are then told all the same: they cannot record a further attempt without control
-        either.
+        The caller may notify the entries in either case: without control they cannot record
+        another attempt.
         """
         request_id = f"crash-{secrets.token_hex(8)}"
         if not self._propose(report, request_id):
-            eventlet.spawn_n(self._until_done, report, request_id)
+            eventlet.spawn_n(self._propose_until_accepted, report, request_id)
 
-    def _until_done(self, command: object, request_id: str) -> bool:
+    def _propose_until_accepted(self, command: object, request_id: str) -> bool:
         while not self.stopped:
             if self._propose(command, request_id):
                 return True
-            eventlet.sleep(PROPOSE_AGAIN_SECONDS)
+            eventlet.sleep(PROPOSE_RETRY_SECONDS)
         return False
 
     def _propose(self, command: object, request_id: str) -> bool:
         try:
-            self._control.propose(command, PROPOSE_SECONDS, request_id)
+            self._control.propose(command, PROPOSE_TIMEOUT_SECONDS, request_id)
         except UnavailableError:
             self._metrics.count("sidecar.propose_failed")
             return False
@@ -81,7 +81,7 @@
 
 
 def crash_report(server_id: str, incarnation: str, dispatches: tuple[Dispatch, ...]) -> ReportCrash:
-    """Return the command that charges a crash to the requests that ran together."""
+    """Return the command that attributes a crash to all requests that were running."""
     fingerprints = [
         fingerprint(dispatch.org_id, dispatch.spec.target, dispatch.spec.body)
         for dispatch in dispatches
--- a/libs/sidecar/tarragonhall_sidecar/_events.py
+++ b/libs/sidecar/tarragonhall_sidecar/_events.py
@@ -1,4 +1,4 @@
-"""What goes into the sidecar's core and what comes out of it."""
+"""Inputs and outputs of the sidecar's core."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
     Dispatch,
 )
 
-# Links are told apart by a number that the shell gives them: the core never touches a socket.
+# The shell numbers the links, so that the core does no I/O.
 PeerId = int
 
 
 @dataclass(slots=True, frozen=True)
-class Arrived:
-    """A message came over a link."""
+class MessageReceived:
+    """A message arrived over a link."""
 
     peer: PeerId
     message: Dispatch | Attach | CancelAttempt | AttemptAck
 
 
 @dataclass(slots=True, frozen=True)
-class ProgramGone:
+class ProgramEnded:
     """The program of an attempt was cancelled or has expired."""
 
     attempt: AttemptId
@@ -36,22 +36,22 @@
 
 @dataclass(slots=True, frozen=True)
 class PeerClosed:
-    """A link closed; what is due to it waits for another to attach."""
+    """A link closed; ends not yet acknowledged are sent to the next peer that attaches."""
 
     peer: PeerId
 
 
 @dataclass(slots=True, frozen=True)
-class Produced:
-    """The backend server produced more of an answer, already checked to be of this attempt."""
+class TextGenerated:
+    """The backend server generated more text, already validated to belong to this attempt."""
 
     key: str
     text: str
 
 
 @dataclass(slots=True, frozen=True)
-class Finished:
-    """A run ended in a way that needs no further evidence."""
+class RunFinished:
+    """A run ended, and its outcome is known without a probe."""
 
     key: str
     outcome: AttemptOutcome
@@ -60,34 +60,35 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Broke:
-    """The connection of a run broke; a probe will tell whether the server crashed."""
+class ConnectionLost:
+    """The connection of a run broke; a probe determines whether the server crashed."""
 
     key: str
     detail: str
 
 
 @dataclass(slots=True, frozen=True)
-class Probed:
-    """What a health probe found. `life` changes when the server restarts, where it tells it.
+class ProbeResult:
+    """Result of a health probe.
 
-    `refused` says that nothing listens any more; a probe that only timed out proves less.
+    `refused` means that no process listens any more, which a timeout does not prove.
+    `server_incarnation` changes with each restart of the server, and is empty if not reported.
     """
 
     up: bool
     refused: bool = False
-    life: str = ""
+    server_incarnation: str = ""
 
 
 @dataclass(slots=True, frozen=True)
 class DrainChanged:
-    """The server is to take no new work, or may take it again."""
+    """The server must accept no new work, or may accept it again."""
 
     draining: bool
 
 
 @dataclass(slots=True, frozen=True)
-class Committed:
+class EndCommitted:
     """The end of an attempt is in the journal."""
 
     key: str
@@ -99,15 +100,15 @@
 
 
 Input = (
-    Arrived
-    | ProgramGone
+    MessageReceived
+    | ProgramEnded
     | PeerClosed
-    | Produced
-    | Finished
-    | Broke
-    | Probed
+    | TextGenerated
+    | RunFinished
+    | ConnectionLost
+    | ProbeResult
     | DrainChanged
-    | Committed
+    | EndCommitted
     | Tick
 )
 
@@ -129,7 +130,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StartRun:
-    """Run the attempt on the backend server now, for `seconds_left` at most."""
+    """Run the attempt on the backend server now, for at most `seconds_left`."""
 
     dispatch: Dispatch
     seconds_left: float
@@ -137,7 +138,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StopRun:
-    """Ask the backend server to stop; `abandon` where nothing is expected of the run any more."""
+    """Stop a run: request it of the backend server, or with `abandon` only stop waiting for it."""
 
     key: str
     abandon: bool
@@ -150,7 +151,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CommitEnd:
-    """No one acknowledged this end in time: put it in the journal."""
+    """Commit an end to the journal that no entry acknowledged in time."""
 
     end: AttemptEnded
     org_id: str
@@ -161,8 +162,8 @@
 class ServerCrashed:
     """The backend server crashed while these attempts ran on it.
 
-    `sends` tell their entries, once the crash is in the journal: an entry that tried again before
-    could not know that the request is quarantined, and would bring down the next server.
+    `sends` notify the entries and must follow the commit of the crash: an entry that retried
+    earlier could not know that the request is quarantined, and would crash the next server.
     """
 
     dispatches: tuple[Dispatch, ...]
--- a/libs/sidecar/tarragonhall_sidecar/_memory.py
+++ b/libs/sidecar/tarragonhall_sidecar/_memory.py
@@ -1,13 +1,13 @@
 """Bounded memory of attempts, so that a late or repeated dispatch never starts a second run.
 
-A dispatch can arrive long after everyone gave up on it: an entry was paused, or a network held its
-packets. Forgetting an attempt would then run it again. Remembering all of them would grow without
-end. What is remembered is one mark for each program: the highest call and attempt number seen. A
-program's calls come in order and its attempts are numbered upwards, so anything at or below the
-mark is a repeat. Programs that were idle for longest move from their mark into a Bloom filter,
-which never forgets one and costs ten bits each; what is found there is refused. A false match
-refuses a program it never saw, and the entry then uses another server. Restarting the sidecar
-empties both, which is safe because a dispatch names the life of the sidecar that it is for.
+A dispatch can arrive long after it was abandoned: an entry was paused, or a network delayed its
+packets. Forgetting an attempt would run it again; storing all of them would grow without bound. So
+each program has one high-water mark: the highest call and attempt number seen. A program's calls
+arrive in order and its attempts are numbered upwards, so anything at or below the mark is a repeat.
+The mark of the longest idle program is evicted into a Bloom filter, which has no false negatives
+and needs ten bits a program; a program found there is rejected. A false positive rejects a new
+program, and the entry then uses another server. A restart of the sidecar clears both, which is safe
+because a dispatch names the incarnation of the sidecar that it is for.
 """
 
 from __future__ import annotations
@@ -19,18 +19,21 @@
 
 from tarragonhall_model import AttemptId
 
-# An idle program expires after minutes; a backend server meets a few programs a second at most, so
-# a program leaves this table hours after its last call.
-MARKS_KEPT = 10_000
-# 1 MB: after 400,000 forgotten programs about one new program in 1,300 matches by chance, as
+# An idle program expires after minutes, and a backend server sees at most a few programs a second,
+# so a mark is evicted hours after its program's last call.
+MAX_MARKS = 10_000
+# 1 MB: after 400,000 evicted programs the false positive rate is about one new program in 1,300, as
 # (1 - exp(-4 * 400000 / 8388608)) ** 4 = 0.0009. It holds weeks of a server's programs.
 FILTER_BYTES = 1 << 20
 FILTER_HASHES = 4
 HASH_BYTES = 4
 
 
-class Past(enum.Enum):
-    """What is known of an attempt that is not under way."""
+class KnownState(enum.Enum):
+    """What is remembered of an attempt that is not in flight.
+
+    `FORGOTTEN` means that it may have run: it is older than the mark, or its program was evicted.
+    """
 
     NEW = "new"
     NEVER_RAN = "never_ran"
@@ -45,50 +48,50 @@
 
 
 class AttemptMemory:
-    """Tells new attempts from repeats."""
+    """Distinguishes new attempts from repeats."""
 
-    __slots__ = ("_filter", "_kept", "_mark_by_program", "_anything_forgotten")
+    __slots__ = ("_filter", "_has_evicted", "_mark_by_program", "_max_marks")
 
-    def __init__(self, kept: int = MARKS_KEPT) -> None:
-        self._kept = kept
+    def __init__(self, max_marks: int = MAX_MARKS) -> None:
+        self._max_marks = max_marks
         self._mark_by_program: collections.OrderedDict[str, _Mark] = collections.OrderedDict()
         self._filter = bytearray(FILTER_BYTES)
-        self._anything_forgotten = False
+        self._has_evicted = False
 
-    def past_of(self, attempt: AttemptId) -> Past:
-        """Return what is known of an attempt; only a `NEW` one may be taken."""
+    def state_of(self, attempt: AttemptId) -> KnownState:
+        """Return what is remembered of an attempt; only a `NEW` one may be accepted."""
         mark = self._mark_by_program.get(attempt.program_id)
         if mark is None:
-            return Past.FORGOTTEN if self._was_forgotten(attempt.program_id) else Past.NEW
+            return KnownState.FORGOTTEN if self._was_evicted(attempt.program_id) else KnownState.NEW
         position = (attempt.seq, attempt.number)
         if position > (mark.seq, mark.number):
-            return Past.NEW
+            return KnownState.NEW
         if position == (mark.seq, mark.number) and not mark.ran:
-            return Past.NEVER_RAN
-        return Past.FORGOTTEN
+            return KnownState.NEVER_RAN
+        return KnownState.FORGOTTEN
 
-    def note(self, attempt: AttemptId) -> None:
-        """Remember a new attempt that has not started: from now on it is a repeat."""
+    def remember(self, attempt: AttemptId) -> None:
+        """Record a new attempt that has not started; from now on it counts as a repeat."""
         program_id = attempt.program_id
         self._mark_by_program[program_id] = _Mark(attempt.seq, attempt.number, ran=False)
         self._mark_by_program.move_to_end(program_id)
-        if len(self._mark_by_program) > self._kept:
-            forgotten, _mark = self._mark_by_program.popitem(last=False)
-            self._forget(forgotten)
+        if len(self._mark_by_program) > self._max_marks:
+            evicted, _mark = self._mark_by_program.popitem(last=False)
+            self._add_to_filter(evicted)
 
-    def note_run(self, attempt: AttemptId) -> None:
-        """Remember that a noted attempt was started."""
+    def remember_start(self, attempt: AttemptId) -> None:
+        """Record that a remembered attempt was started."""
         mark = self._mark_by_program.get(attempt.program_id)
         if mark is not None and (mark.seq, mark.number) == (attempt.seq, attempt.number):
             mark.ran = True
 
-    def _forget(self, program_id: str) -> None:
-        self._anything_forgotten = True
+    def _add_to_filter(self, program_id: str) -> None:
+        self._has_evicted = True
         for bit in _bits(program_id):
             self._filter[bit >> 3] |= 1 << (bit & 7)
 
-    def _was_forgotten(self, program_id: str) -> bool:
-        if not self._anything_forgotten:
+    def _was_evicted(self, program_id: str) -> bool:
+        if not self._has_evicted:
             return False
         return all(self._filter[bit >> 3] & (1 << (bit & 7)) for bit in _bits(program_id))
 
--- a/libs/sidecar/tarragonhall_sidecar/_order_desk.py
+++ b/libs/sidecar/tarragonhall_sidecar/_order_handler.py
@@ -1,4 +1,4 @@
-"""Carries out orders to the engine, one at a time."""
+"""Executes orders on the engine, one at a time."""
 
 from __future__ import annotations
 
@@ -16,22 +16,22 @@
 
 LOAD_MODEL = "load_model"
 UNLOAD = "unload"
-# The calls that run on a model end before its weights are exchanged. Longer than most calls run;
-# where one runs longer still, the order is refused and the leader gives it again.
-IDLE_SECONDS = 120.0
+# Running calls of a model must end before its weights are replaced. This is longer than most calls
+# take; if one takes longer, the order is refused and the leader sends it again.
+IDLE_TIMEOUT_SECONDS = 120.0
 IDLE_POLL_SECONDS = 0.02
 
 
-class OrderDesk:
-    """The one place from which orders reach the engine.
+class OrderHandler:
+    """Serializes the orders to the engine.
 
-    `loaded` is what the engine itself last said. An engine that ignores fencing numbers may act on
-    an order long after its answer was lost, and only its own word shows that: it is asked before
-    each order, and between orders with each probe, so that the leader sees it and orders anew.
+    `loaded` is what the engine last reported. An engine that ignores fencing numbers may execute an
+    order long after its answer was lost, which only its own report shows. So `loaded` is read
+    before each order and with each probe; the leader sees it and issues new orders.
     """
 
-    __slots__ = ("_adopted", "_backend", "_context", "_execution", "_follower", "_gate", "_lock",
-                 "loaded")  # fmt: skip
+    __slots__ = ("_backend", "_context", "_execution", "_follower", "_gate", "_loaded_known",
+                 "_lock", "loaded")  # fmt: skip
 
     def __init__(
         self, backend: Backend, follower: Follower, context: ProcessContext, execution: Execution
@@ -42,33 +42,34 @@
         self._execution = execution
         self._gate = OrderGate()
         self._lock = eventlet.semaphore.Semaphore(1)
-        self._adopted = False
+        self._loaded_known = False
         self.loaded: dict[str, str] = {}
 
     def read_loaded(self) -> bool:
-        """Ask the engine what it has loaded; return whether it answered."""
+        """Update `loaded` from the engine; return whether it answered."""
         try:
             self.loaded = self._backend.loaded()
         except BackendError as error:
             log.debug("engine.loaded_unknown", error=str(error))
             return False
-        if self.loaded and not self._adopted:
-            # The settings say what the engine was started with. After orders to an earlier life
-            # of this sidecar that is old, and calls would reach an engine without their model.
+        if self.loaded and not self._loaded_known:
+            # The settings name the models at the engine's start. After orders to an earlier
+            # incarnation of this sidecar they are outdated, and calls would reach an engine that
+            # has not loaded their model.
             self._execution.serves.clear()
             self._execution.serves.update(self.loaded)
-        self._adopted = True
+        self._loaded_known = True
         return True
 
-    def carry_out(self, order: EngineOrder) -> OrderDone:
-        """Carry out an order, or say why not."""
+    def execute(self, order: EngineOrder) -> OrderDone:
+        """Execute an order; return the result, with the reason if it was refused."""
         with self._lock:
-            refused = self._refusal(order)
-            if refused is not None:
-                return refused
-            done = self._exchange(order)
+            refusal = self._refusal(order)
+            if refusal is not None:
+                return refusal
+            done = self._apply(order)
             if done.done:
-                self._gate.carried_out(done)
+                self._gate.record_done(done)
                 self._context.timeline.add(
                     "engine.order", order=order.order_id, action=order.action, model=order.model
                 )
@@ -78,17 +79,17 @@
         fresh = self._follower.is_fresh(self._context.monotonic())
         return self._gate.refusal(order, self._follower.fencing, fresh)
 
-    def _exchange(self, order: EngineOrder) -> OrderDone:
-        """Take the model out of service, give the order, and serve what the engine then has."""
+    def _apply(self, order: EngineOrder) -> OrderDone:
+        """Stop serving the model, send the order, and serve what the engine then has loaded."""
         if not self.read_loaded():
-            return OrderDone(order.order_id, False, "the engine does not say what it has loaded")
+            return OrderDone(order.order_id, False, "the engine does not report what is loaded")
         serves = self._execution.serves
-        served = order.model in serves
+        was_served = order.model in serves
         if not self._is_in_effect(order):
             serves.discard(order.model)
             failure = self._send_when_idle(order)
             if failure is not None:
-                if served:
+                if was_served:
                     serves.add(order.model)
                 return failure
         if order.action.startswith("load"):
@@ -98,17 +99,17 @@
         return OrderDone(order.order_id, True)
 
     def _send_when_idle(self, order: EngineOrder) -> OrderDone | None:
-        """Send an order once nothing runs on its model; return how it failed, or None."""
+        """Send an order once no call of its model runs; return the failure, or None."""
         if not self._wait_until_idle(order.model):
             return OrderDone(order.order_id, False, f"calls of {order.model} still run")
-        # Asked again: the lease may have run out, or another leader been confirmed, meanwhile.
-        refused = self._refusal(order)
-        if refused is not None:
-            return refused
+        # Checked again: meanwhile the lease may have expired or a new leader been confirmed.
+        refusal = self._refusal(order)
+        if refusal is not None:
+            return refusal
         try:
-            self._backend.order(order)
+            self._backend.send_order(order)
         except BackendError as error:
-            # The answer was lost, perhaps; the engine's own word then counts.
+            # Perhaps only the answer was lost, so the engine's own report decides.
             self.read_loaded()
             if self._is_in_effect(order):
                 return None
@@ -122,7 +123,7 @@
         return order.action == UNLOAD and order.model not in self.loaded
 
     def _wait_until_idle(self, model: str) -> bool:
-        deadline = self._context.monotonic() + IDLE_SECONDS
+        deadline = self._context.monotonic() + IDLE_TIMEOUT_SECONDS
         while self._execution.in_use(model):
             if self._context.monotonic() >= deadline:
                 return False
--- a/libs/sidecar/tarragonhall_sidecar/_reconciler.py
+++ b/libs/sidecar/tarragonhall_sidecar/_reconciler.py
@@ -1,4 +1,4 @@
-"""Keeps the engine free of runs and programs that are gone."""
+"""Removes orphaned runs and the memory of ended programs from the engine."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 from tarragonhall_sidecar._backend import Backend, BackendError
 from tarragonhall_sidecar._execution import Execution
-from tarragonhall_sidecar._reconcile import Releases
+from tarragonhall_sidecar._reconcile import ReleaseTracker
 
 log = structlog.get_logger(__name__)
 
-# The message of a program's end frees its memory at once; the rounds are for messages that were
-# lost. Each costs the node and the engine two short connections.
-RECONCILE_SECONDS = 4.0
-ASK_SECONDS = 5.0
+# The notification of a program's end frees its memory at once; a round only repairs lost messages,
+# and costs the node and the engine two short connections.
+RECONCILE_INTERVAL_SECONDS = 4.0
+QUERY_TIMEOUT_SECONDS = 5.0
 
 
 class Reconciler:
-    """Compares what the engine holds with what lives, again and again."""
+    """Periodically compares the engine's runs and memory with the live attempts and programs."""
 
-    __slots__ = ("_backend", "_context", "_control", "_execution", "_releases", "stopped")
+    __slots__ = ("_backend", "_context", "_control", "_execution", "_tracker", "stopped")
 
     def __init__(
         self,
@@ -35,22 +35,22 @@
         self._control = control
         self._context = context
         self._execution = execution
-        self._releases = Releases()
+        self._tracker = ReleaseTracker()
         self.stopped = False
 
     def held(self) -> list[str]:
         """Return the programs of the last listing, most recently used first."""
-        return self._releases.held
+        return self._tracker.held
 
     def program_ended(self, program_id: str) -> None:
-        """Release a program that has ended, now and until the listing shows it gone."""
-        self._releases.program_ended(program_id)
-        eventlet.spawn_n(self._release_quietly, program_id)
+        """Release an ended program now, and again until the listing no longer shows it."""
+        self._tracker.program_ended(program_id)
+        eventlet.spawn_n(self._try_release, program_id)
 
     def run(self) -> None:
         """Reconcile until stopped."""
         while not self.stopped:
-            eventlet.sleep(RECONCILE_SECONDS)
+            eventlet.sleep(RECONCILE_INTERVAL_SECONDS)
             if not self._execution.up:
                 continue
             try:
@@ -60,44 +60,44 @@
                 log.debug("sidecar.reconcile_failed", error=str(error))
 
     def _reconcile(self) -> None:
-        self._stop_strays()
-        self._release_gone()
+        self._cancel_orphaned_runs()
+        self._release_ended()
 
-    def _stop_strays(self) -> None:
-        """Stop what the engine runs for no one.
+    def _cancel_orphaned_runs(self) -> None:
+        """Cancel the engine's runs that belong to no attempt in flight here.
 
-        A sidecar that was killed leaves its runs behind, and a cancel can be lost. No one would
-        take the answers, and the slots that they fill would be missing from those that this life
-        counts on. What is under way here is read after the listing: a run that began since is not
-        in the listing.
+        A killed sidecar leaves its runs behind, and a cancel can be lost. Nothing would read the
+        answers, and the runs would occupy slots that this incarnation counts as free. The attempts
+        in flight are read after the listing, so that a run in the listing is never mistaken for an
+        orphan because it started in between.
         """
         for key in self._backend.running():
-            if key in self._execution.under_way():
+            if key in self._execution.in_flight_keys():
                 continue
             self._context.metrics.count("sidecar.stray_run")
             self._backend.cancel(key)
 
-    def _release_gone(self) -> None:
+    def _release_ended(self) -> None:
         listing = self._backend.listing()
-        self._releases.listed(listing, self._context.monotonic())
-        asked = self._releases.to_ask(self._context.monotonic())
-        if asked:
-            reply = self._control.ask(QueryLiving(asked), ASK_SECONDS)
+        self._tracker.update_listing(listing, self._context.monotonic())
+        queried = self._tracker.programs_to_query(self._context.monotonic())
+        if queried:
+            reply = self._control.ask(QueryLiving(queried), QUERY_TIMEOUT_SECONDS)
             if isinstance(reply, Living):
-                self._releases.answered(asked, reply.program_ids, self._context.monotonic())
-        busy = self._execution.programs()
-        for program_id in self._releases.to_free(busy, self._context.monotonic()):
-            # Its program may have sent a call since the round began.
-            if program_id in self._execution.programs():
+                self._tracker.update_living(queried, reply.program_ids, self._context.monotonic())
+        busy = self._execution.active_programs()
+        for program_id in self._tracker.programs_to_release(busy, self._context.monotonic()):
+            # The program may have sent a call since the round began.
+            if program_id in self._execution.active_programs():
                 continue
             self._context.metrics.count("sidecar.release")
             self._backend.release(program_id)
 
-    def _release_quietly(self, program_id: str) -> None:
-        if program_id in self._execution.programs():
+    def _try_release(self, program_id: str) -> None:
+        if program_id in self._execution.active_programs():
             return
         try:
             self._backend.release(program_id)
         except BackendError:
-            # The listing still shows it, so the next round asks again.
+            # The listing still shows the program, so the next round retries.
             self._context.metrics.count("sidecar.release_failed")
--- a/libs/sidecar/tarragonhall_sidecar/_role.py
+++ b/libs/sidecar/tarragonhall_sidecar/_role.py
@@ -1,4 +1,4 @@
-"""The role as the daemon drives it: all sidecars of a process behind one set of handlers."""
+"""The sidecar role for the daemon: one set of message handlers for all sidecars of a process."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 from tarragonhall_sidecar._settings import SidecarSettings
 from tarragonhall_sidecar._sidecar import Sidecar
 
-# Telling control that the server leaves; after a failure the missing heartbeats do the same.
-LEAVE_SECONDS = 2.0
+# For the leave notice to control; if it is lost, missing heartbeats have the same effect.
+LEAVE_TIMEOUT_SECONDS = 2.0
 
 
 class Sidecars:
@@ -33,20 +33,20 @@
         self._control = control
 
     def ready(self) -> bool:
-        """Return whether every server answers and is announced."""
+        """Return whether every server answers and is registered with control."""
         return all(sidecar.ready() for sidecar in self._sidecar_by_server.values())
 
     def drain(self, timeout_s: float) -> bool:
-        """Take no new work, finish what is at hand and leave the view."""
+        """Reject new work, finish accepted work and leave the view."""
         sidecars = list(self._sidecar_by_server.values())
         pool = eventlet.GreenPool()
         ended = list(pool.imap(lambda sidecar: sidecar.leave(timeout_s), sidecars))
         for sidecar in sidecars:
-            self._control.leave(sidecar.record(), LEAVE_SECONDS)
+            self._control.leave(sidecar.record(), LEAVE_TIMEOUT_SECONDS)
         return all(ended)
 
     def stop(self) -> None:
-        """Stop at once."""
+        """Stop immediately, without a drain."""
         for sidecar in self._sidecar_by_server.values():
             sidecar.stop()
 
@@ -58,13 +58,13 @@
         return sidecar.request(link, message)
 
     def on_ack(self, link: Link, message: AttemptAck) -> None:
-        """Route an acknowledgement."""
+        """Route an acknowledgement to its server's sidecar."""
         sidecar = self._sidecar_by_server.get(message.attempt.server_id)
         if sidecar is not None:
             sidecar.one_way(link, message)
 
     def on_release(self, _link: Link, message: ReleaseProgram) -> None:
-        """Stop attempts of a program that has ended, and release it on every engine here."""
+        """Stop the attempts of an ended program and release its memory on every engine here."""
         for attempt in message.stop:
             owner = self._sidecar_by_server.get(attempt.server_id)
             if owner is not None:
@@ -73,16 +73,16 @@
             sidecar.program_ended(message.program_id)
 
     def on_order(self, _link: Link, order: EngineOrder) -> OrderDone:
-        """Route an order to the engine it names."""
+        """Route an order to the engine it names; without a name, to the only one here."""
         if not order.server_id and len(self._sidecar_by_server) == 1:
-            return next(iter(self._sidecar_by_server.values())).order(order)
+            return next(iter(self._sidecar_by_server.values())).execute_order(order)
         sidecar = self._sidecar_by_server.get(order.server_id)
         if sidecar is None:
             return OrderDone(order.order_id, False, f"no server {order.server_id!r} here")
-        return sidecar.order(order)
+        return sidecar.execute_order(order)
 
     def on_link_down(self, link: Link) -> None:
-        """Tell every sidecar that a link closed."""
+        """Notify every sidecar that a link closed."""
         for sidecar in self._sidecar_by_server.values():
             sidecar.link_down(link)
 
@@ -90,7 +90,7 @@
 def start_sidecars(
     settings: list[SidecarSettings], context: ProcessContext, control: ControlClient
 ) -> Role:
-    """Serve the backend servers of this process; a process usually stands beside one."""
+    """Start a sidecar for each backend server in the settings, usually one, and return the role."""
     sidecar_by_server = {one.server_id: Sidecar(one, context, control) for one in settings}
     role = Sidecars(sidecar_by_server, control)
     for message_class in (Dispatch, Attach, CancelAttempt):
--- a/libs/sidecar/tarragonhall_sidecar/_settings.py
+++ b/libs/sidecar/tarragonhall_sidecar/_settings.py
@@ -11,8 +11,8 @@
 class SidecarSettings:
     """One backend server. `server` is its own HTTP address; `serves` names models or services.
 
-    `fencing` says whether the engine itself refuses orders with an old fencing number. A stream
-    that brings nothing for `progress_ms` is given up.
+    `fencing` is whether the engine itself refuses orders with an old fencing number. A stream that
+    delivers nothing for `progress_ms` times out.
     """
 
     server_id: str
@@ -33,7 +33,7 @@
         "serves": ListOf(Text(), at_least=1),
         "slots": Whole(8, minimum=1, maximum=4_096),
         "fencing": Choice(("enforced", "ignored"), default="ignored"),
-        # An engine pings each second while a request waits in it; ten lost pings are no accident.
+        # An engine pings every second while a request is queued; ten missing pings mean a failure.
         "progress_ms": Whole(10_000, minimum=100),
     },
 )
--- a/libs/sidecar/tarragonhall_sidecar/_sidecar.py
+++ b/libs/sidecar/tarragonhall_sidecar/_sidecar.py
@@ -1,4 +1,4 @@
-"""The eventlet shell around one backend server's core."""
+"""The eventlet shell around the core of one backend server's sidecar."""
 
 from __future__ import annotations
 
@@ -26,50 +26,51 @@
 from tarragonhall_sidecar._backend import Backend
 from tarragonhall_sidecar._commits import Committer, crash_report
 from tarragonhall_sidecar._events import (
-    Arrived,
     CommitEnd,
-    Committed,
     DrainChanged,
-    Finished,
+    EndCommitted,
     Input,
+    MessageReceived,
     Output,
     PeerClosed,
     ProbeNow,
-    Produced,
-    ProgramGone,
+    ProgramEnded,
     Reply,
+    RunFinished,
     Send,
     ServerCrashed,
     StartRun,
     StopRun,
+    TextGenerated,
     Tick,
 )
 from tarragonhall_sidecar._execution import Execution
 from tarragonhall_sidecar._memory import AttemptMemory
-from tarragonhall_sidecar._order_desk import OrderDesk
+from tarragonhall_sidecar._order_handler import OrderHandler
 from tarragonhall_sidecar._reconciler import Reconciler
-from tarragonhall_sidecar._reports import HELD_PROGRAMS, ReportPacer
+from tarragonhall_sidecar._reports import MAX_HELD_PROGRAMS, ReportPacer
 from tarragonhall_sidecar._settings import SidecarSettings
 
 log = structlog.get_logger(__name__)
 
-TICK_SECONDS = 0.2
-# A dead server is known within a second or two, and a probe costs one short connection.
-PROBE_SECONDS = 1.0
-# The runs that a crash takes with it break within this of one another; they are judged together.
-GATHER_SECONDS = 0.05
-# Stands for a link that closed while its last messages were being handled.
+TICK_INTERVAL_SECONDS = 0.2
+# Detects a dead server within a second or two, at one short connection a probe.
+PROBE_INTERVAL_SECONDS = 1.0
+# Runs that fail in the same crash lose their connections within this time of one another; the probe
+# waits for it, so that the crash is attributed to all of them.
+CRASH_PROBE_DELAY_SECONDS = 0.05
+# The peer id of a link that closed while its last messages were being handled.
 NO_PEER = 0
-# How much one run counts in the running mean of the time for each token.
-PACE_WEIGHT = 0.2
+# Weight of one run in the exponential moving average of the time a token.
+PACE_SMOOTHING = 0.2
 
 
 class Sidecar:
-    """Serves one backend server until stopped."""
+    """Connects one backend server to the platform until stopped."""
 
     __slots__ = ("_backend", "_committer", "_context", "_control", "_execution", "_follower",
-                 "_incarnation", "_leaving", "_link_by_peer", "_ms_per_token", "_order_desk",
-                 "_outbox", "_outbox_wake", "_pacer", "_peer_by_link", "_peers", "_reconciler",
+                 "_incarnation", "_leaving", "_link_by_peer", "_ms_per_token", "_order_handler",
+                 "_outbox", "_outbox_wake", "_pacer", "_peer_by_link", "_peer_ids", "_reconciler",
                  "_run_by_key", "_settings", "_stopped")  # fmt: skip
 
     def __init__(
@@ -84,12 +85,12 @@
         self._execution = Execution(identity, set(settings.serves), AttemptMemory())
         self._follower = Follower(models_only=True)
         self._committer = Committer(self._incarnation, control, context.metrics)
-        self._order_desk = OrderDesk(self._backend, self._follower, context, self._execution)
+        self._order_handler = OrderHandler(self._backend, self._follower, context, self._execution)
         self._reconciler: Reconciler | None = None
         if settings.kind is ServerKind.MODEL:
             self._reconciler = Reconciler(self._backend, control, context, self._execution)
         self._pacer = ReportPacer()
-        self._peers = itertools.count(1)
+        self._peer_ids = itertools.count(1)
         self._peer_by_link: dict[Link, int] = {}
         self._link_by_peer: dict[int, Link] = {}
         self._outbox: collections.deque[Send] = collections.deque()
@@ -100,7 +101,7 @@
         self._stopped = False
 
     def start(self) -> None:
-        """Begin to announce, probe, report and reconcile."""
+        """Start to register, probe, report load and reconcile."""
         for loop in (self._send_loop, self._tick_loop, self._probe_loop):
             eventlet.spawn_n(loop)
         if self._reconciler is not None:
@@ -109,7 +110,7 @@
         self._control.follow(self.record, self._follower, self.load)
 
     def record(self) -> ServerRecord:
-        """Return what this sidecar announces of its server."""
+        """Return the record that this sidecar registers for its server."""
         return ServerRecord(
             server_id=self._settings.server_id,
             incarnation=self._incarnation,
@@ -119,28 +120,28 @@
             serves=sorted(self._execution.serves),
             slots=self._settings.slots,
             draining=self._leaving,
-            loaded=dict(self._order_desk.loaded),
+            loaded=dict(self._order_handler.loaded),
         )
 
     def load(self) -> NodeLoad:
-        """Return how busy the server is."""
+        """Return the server's load: its attempts in flight as a share of its slots."""
         running = self._execution.count(State.RUNNING, State.BROKEN, State.WAITING)
         return NodeLoad(busy_share=running / self._settings.slots)
 
     def ready(self) -> bool:
-        """Return whether the server answers and this sidecar is known to control."""
+        """Return whether the server answers and this sidecar's view from control is fresh."""
         return self._execution.up and self._follower.is_fresh(self._context.monotonic())
 
     def request(self, link: Link, message: object) -> object:
         """Handle an entry's request and return the reply."""
-        return self._handle(Arrived(self._peer_of(link), message))
+        return self._handle(MessageReceived(self._peer_of(link), message))
 
     def one_way(self, link: Link, message: object) -> None:
         """Handle an entry's one-way message."""
-        self._handle(Arrived(self._peer_of(link), message))
+        self._handle(MessageReceived(self._peer_of(link), message))
 
     def link_down(self, link: Link) -> None:
-        """Forget a link that closed."""
+        """Drop the state of a closed link."""
         peer = self._peer_by_link.pop(link, None)
         if peer is not None:
             del self._link_by_peer[peer]
@@ -148,31 +149,31 @@
 
     def stop_attempt(self, attempt: AttemptId) -> None:
         """Stop an attempt whose program was cancelled or has expired."""
-        self._handle(ProgramGone(attempt))
+        self._handle(ProgramEnded(attempt))
 
     def program_ended(self, program_id: str) -> None:
-        """Release what the engine holds for a program, now and until its listing shows it gone."""
+        """Release the program's memory now, and again until the engine no longer lists it."""
         if self._reconciler is not None:
             self._reconciler.program_ended(program_id)
 
-    def order(self, order: EngineOrder) -> OrderDone:
-        """Carry out an order to the engine, or say why not."""
-        return self._order_desk.carry_out(order)
+    def execute_order(self, order: EngineOrder) -> OrderDone:
+        """Execute an order on the engine; return the result, with the reason if it was refused."""
+        return self._order_handler.execute(order)
 
     def leave(self, timeout_s: float) -> bool:
-        """Take no new work and finish what is at hand; return whether all of it ended in time."""
+        """Reject new work and finish accepted work; return whether all of it ended in time."""
         self._leaving = True
         self._handle(DrainChanged(True))
         self._context.timeline.add("server.drain", server=self._settings.server_id)
         with eventlet.Timeout(timeout_s, False):
-            # Ends are waited for as well: an answer that no one has taken yet is not finished.
+            # Includes ended attempts: their ends are not yet acknowledged or committed.
             while self._execution.count(*State):
-                eventlet.sleep(TICK_SECONDS)
+                eventlet.sleep(TICK_INTERVAL_SECONDS)
             return True
         return False
 
     def stop(self) -> None:
-        """Stop everything at once."""
+        """Stop everything immediately."""
         self._stopped = True
         self._committer.stopped = True
         if self._reconciler is not None:
@@ -180,11 +181,11 @@
         for run, _dispatch in list(self._run_by_key.values()):
             run.kill()
 
-    # The core, and what it asks for.
+    # The core and its outputs.
 
-    def _handle(self, happened: Input) -> object:
+    def _handle(self, event: Input) -> object:
         reply = None
-        for output in self._execution.handle(happened, self._context.monotonic()):
+        for output in self._execution.handle(event, self._context.monotonic()):
             if isinstance(output, Reply):
                 reply = output.message
                 continue
@@ -203,7 +204,7 @@
             case StopRun(key, abandon):
                 self._stop_run(key, abandon)
             case ProbeNow():
-                eventlet.spawn_after(GATHER_SECONDS, self._probe)
+                eventlet.spawn_after(CRASH_PROBE_DELAY_SECONDS, self._probe)
             case CommitEnd():
                 eventlet.spawn_n(self._commit, output)
             case ServerCrashed():
@@ -216,11 +217,13 @@
         started = self._context.monotonic()
         try:
             result = self._backend.run(
-                dispatch, seconds_left, lambda text: self._handle(Produced(key, text))
+                dispatch, seconds_left, lambda text: self._handle(TextGenerated(key, text))
             )
         except Exception as error:  # noqa: BLE001 - every run must end, or its slot is lost
             log.exception("sidecar.run_failed", server=self._settings.server_id)
-            result = Finished(key, AttemptOutcome.FAILED, detail=f"{type(error).__name__}: {error}")
+            result = RunFinished(
+                key, AttemptOutcome.FAILED, detail=f"{type(error).__name__}: {error}"
+            )
         finally:
             self._run_by_key.pop(key, None)
         seconds = self._context.monotonic() - started
@@ -230,7 +233,7 @@
         self._context.metrics.count(f"sidecar.end.{name}")
         self._context.timeline.add("attempt.end", program_id, attempt=key, outcome=name)
         if outcome is AttemptOutcome.ANSWERED:
-            self._note_pace(seconds, result.answer.usage.generated)
+            self._update_pace(seconds, result.answer.usage.generated)
         self._handle(result)
 
     def _stop_run(self, key: str, abandon: bool) -> None:
@@ -241,17 +244,17 @@
             self._run_by_key.pop(key)
             run.kill()
             return
-        self._backend.cancel_quietly(dispatch)
+        self._backend.cancel_in_background(dispatch)
 
-    def _note_pace(self, seconds: float, tokens: int) -> None:
+    def _update_pace(self, seconds: float, tokens: int) -> None:
         pace = seconds * 1000 / max(tokens, 1)
         if self._ms_per_token == 0.0:
             self._ms_per_token = pace
-        self._ms_per_token += PACE_WEIGHT * (pace - self._ms_per_token)
+        self._ms_per_token += PACE_SMOOTHING * (pace - self._ms_per_token)
 
     def _commit(self, commit: CommitEnd) -> None:
         if self._committer.commit_end(commit):
-            self._handle(Committed(commit.end.attempt.key))
+            self._handle(EndCommitted(commit.end.attempt.key))
 
     def _report_crash(self, crash: ServerCrashed) -> None:
         server_id = self._settings.server_id
@@ -278,25 +281,25 @@
             try:
                 link.send(send.message)
             except LinkError:
-                # The end is kept until it is acknowledged, so nothing is lost with the link.
+                # Ends are stored until they are acknowledged, so nothing is lost with the link.
                 self._context.metrics.count("sidecar.send_failed")
 
     def _tick_loop(self) -> None:
         while not self._stopped:
-            eventlet.sleep(TICK_SECONDS)
+            eventlet.sleep(TICK_INTERVAL_SECONDS)
             self._handle(Tick())
-            self._handle(DrainChanged(self._leaving or self._told_to_drain()))
+            self._handle(DrainChanged(self._leaving or self._is_drain_requested()))
             self._report_load()
 
     def _probe_loop(self) -> None:
         while not self._stopped:
             self._probe()
-            eventlet.sleep(PROBE_SECONDS)
+            eventlet.sleep(PROBE_INTERVAL_SECONDS)
             self._read_loaded()
 
     def _read_loaded(self) -> None:
         if self._settings.kind is ServerKind.MODEL:
-            self._order_desk.read_loaded()
+            self._order_handler.read_loaded()
 
     def _probe(self) -> None:
         was_up = self._execution.up
@@ -306,7 +309,7 @@
             log.info(kind, server=self._settings.server_id)
             self._context.timeline.add(kind, server=self._settings.server_id)
 
-    def _told_to_drain(self) -> bool:
+    def _is_drain_requested(self) -> bool:
         for server in self._follower.view.servers:
             if server.server_id == self._settings.server_id:
                 return server.draining
@@ -334,16 +337,16 @@
             ms_per_token=round(self._ms_per_token, 1),
             healthy=self._execution.up,
             draining=self._execution.draining,
-            held_programs=tuple(held[:HELD_PROGRAMS]),
+            held_programs=tuple(held[:MAX_HELD_PROGRAMS]),
         )
 
     def _peer_of(self, link: Link) -> int:
         if link.closed:
-            # Entered now, it would stay for good: `link_down` has been called already.
+            # `link_down` was called already, so a new table entry would never be removed.
             return NO_PEER
         peer = self._peer_by_link.get(link)
         if peer is None:
-            peer = next(self._peers)
+            peer = next(self._peer_ids)
             self._peer_by_link[link] = peer
             self._link_by_peer[peer] = link
         return peer
--- a/libs/sidecar/tests/answers_tests.py
+++ b/libs/sidecar/tests/answers_tests.py
@@ -1,4 +1,4 @@
-"""No mangled stream is ever taken for an answer."""
+"""Tests that a corrupted stream is never accepted as an answer."""
 
 from __future__ import annotations
 
@@ -24,51 +24,51 @@
     ]
 
 
-OTHERS = events("other/1/1", ["peace", " be"])
+OTHER_ATTEMPT_EVENTS = events("other/1/1", ["peace", " be"])
 
 
 def read(stream: AnswerStream, data: bytes, cuts: list[int]) -> str:
-    """Feed the bytes in pieces and return the text passed on, up to an error."""
-    passed = ""
+    """Feed the bytes in pieces and return the text forwarded before any error."""
+    forwarded = ""
     bounds = [0, *sorted(cut % (len(data) + 1) for cut in cuts), len(data)]
     try:
         for start, end in zip(bounds, bounds[1:], strict=False):
-            passed += stream.feed(data[start:end])
+            forwarded += stream.feed(data[start:end])
     except AnswerError:
         stream.answer = None
-    return passed
+    return forwarded
 
 
 @given(st.data(), st.lists(st.integers(0, 10_000), max_size=8))
-def test_a_mangled_stream_gives_the_whole_answer_or_none(data, cuts):
-    """Engines lose, repeat, swap and mix up the parts of their streams. Whatever comes, a caller
-    reads the true words in their order, and hears of an answer only if it is whole.
+def test_a_corrupted_stream_gives_the_complete_answer_or_none(data, cuts):
+    """An engine drops, repeats, reorders or mixes up events. The forwarded text must still be a
+    prefix of the answer, and an answer is returned only if it is complete.
     """
-    mangled = list(events())
+    corrupted = list(events())
     for _ in range(data.draw(st.integers(0, 4))):
-        at = data.draw(st.integers(0, len(mangled) - 1))
+        at = data.draw(st.integers(0, len(corrupted) - 1))
         match data.draw(st.sampled_from(["drop", "repeat", "swap", "foreign"])):
-            case "drop" if len(mangled) > 1:
-                del mangled[at]
+            case "drop" if len(corrupted) > 1:
+                del corrupted[at]
             case "repeat":
-                mangled.insert(at, mangled[at])
+                corrupted.insert(at, corrupted[at])
             case "swap":
-                mangled[at], mangled[0] = mangled[0], mangled[at]
+                corrupted[at], corrupted[0] = corrupted[0], corrupted[at]
             case "foreign":
-                mangled.insert(at, data.draw(st.sampled_from(OTHERS)))
+                corrupted.insert(at, data.draw(st.sampled_from(OTHER_ATTEMPT_EVENTS)))
     stream = AnswerStream("p/1/1", max_tokens=100)
-    passed = read(stream, b"".join(mangled), cuts)
-    assert TEXT.startswith(passed)
-    assert stream.answer is None or stream.answer.text == TEXT == passed
+    forwarded = read(stream, b"".join(corrupted), cuts)
+    assert TEXT.startswith(forwarded)
+    assert stream.answer is None or stream.answer.text == TEXT == forwarded
 
 
 @given(st.integers(1, len(WORDS)), st.lists(st.integers(0, 10_000), max_size=8))
 @example(limit=1, cuts=[])
-def test_no_token_beyond_the_limit_is_passed_on(limit, cuts):
-    """An engine generates more than the call's budget reserved."""
+def test_no_token_beyond_the_limit_is_forwarded(limit, cuts):
+    """An engine generates more tokens than the call's budget reserved."""
     stream = AnswerStream("p/1/1", max_tokens=limit)
-    passed = read(stream, b"".join(events()), cuts)
-    assert passed == stream.answer.text == "".join(WORDS[:limit])
+    forwarded = read(stream, b"".join(events()), cuts)
+    assert forwarded == stream.answer.text == "".join(WORDS[:limit])
     assert stream.answer.usage.generated == limit
 
 
@@ -82,9 +82,9 @@
         {"index": 0},
     ],
 )
-def test_an_event_of_the_wrong_shape_ends_its_attempt_and_nothing_else(fields):
-    """An engine has a bug and sends half a character, or a number as text. Passed on, it could not
-    be encoded or decoded further on, and would take down the link with the answers of others.
+def test_an_event_with_an_invalid_field_fails_only_its_attempt(fields):
+    """A faulty engine sends half a surrogate pair, or a number as text. If forwarded, it could not
+    be encoded or decoded, and the failure would close the link with the answers of other calls.
     """
     event = f"event: token\ndata: {json.dumps({'attempt': 'p/1/1'} | fields)}\n\n"
     with pytest.raises(AnswerError):
--- a/libs/sidecar/tests/conftest.py
+++ b/libs/sidecar/tests/conftest.py
@@ -1,4 +1,4 @@
-"""A sidecar beside a fake server on loopback, an entry's end of its link, and a small journal."""
+"""Fixtures: a sidecar on loopback with a fake backend server, an entry's link and fake control."""
 
 from __future__ import annotations
 
@@ -33,18 +33,18 @@
 
 
 def eventually(check):
-    """Wait until `check` returns something true, and return that."""
-    limit = time.monotonic() + WAIT_SECONDS
-    while time.monotonic() < limit:
-        found = check()
-        if found:
-            return found
+    """Wait until `check` returns a true value, and return it."""
+    deadline = time.monotonic() + WAIT_SECONDS
+    while time.monotonic() < deadline:
+        result = check()
+        if result:
+            return result
         eventlet.sleep(0.01)
-    raise AssertionError("it never came about")
+    raise AssertionError(f"the condition was not met within {WAIT_SECONDS} seconds")
 
 
-class Journal:
-    """Stands for control: takes what the sidecar proposes, and knows which programs live."""
+class FakeControl:
+    """Replaces control: records the sidecar's proposals and answers which programs are live."""
 
     def __init__(self, context) -> None:
         self.context = context
@@ -71,35 +71,39 @@
         self.proposed.append(("left", node))
 
 
-class Path:
-    """The whole of one sidecar with both its ends."""
+class SidecarHarness:
+    """One sidecar with its backend server, control and an entry's link."""
 
     def __init__(self, kind: ServerKind, slots: int = 2) -> None:
         self.kind = kind
         starts = {ServerKind.MODEL: start_engine, ServerKind.SERVICE: start_service}
         self.fake, self.server = starts[kind]()
-        self.heard = collections.defaultdict(list)
+        self.received_by_attempt = collections.defaultdict(list)
         self.reports = []
         self.entry = self._context("entry")
-        self.entry.hub.handle(Chunk, lambda _link, m: self.heard[m.attempt_key].append(m))
-        self.entry.hub.handle(AttemptEnded, lambda _link, m: self.heard[m.attempt.key].append(m))
+        self.entry.hub.handle(
+            Chunk, lambda _link, m: self.received_by_attempt[m.attempt_key].append(m)
+        )
+        self.entry.hub.handle(
+            AttemptEnded, lambda _link, m: self.received_by_attempt[m.attempt.key].append(m)
+        )
         self.entry.hub.handle(LoadReport, lambda _link, m: self.reports.append(m))
         self.slots = slots
         self.start_sidecar()
 
     def start_sidecar(self) -> None:
-        """Start the sidecar; again after `stop_sidecar`, as a new life."""
+        """Start the sidecar; after `stop_sidecar`, as a new incarnation."""
         self.context = self._context("beside")
-        self.journal = Journal(self.context)
+        self.control = FakeControl(self.context)
         target = "m" if self.kind is ServerKind.MODEL else "bill"
         settings = SidecarSettings(
             "s1", self.server.address, self.kind, [target], self.slots, "ignored", 500
         )
-        self.role = start_sidecars([settings], self.context, self.journal)
+        self.role = start_sidecars([settings], self.context, self.control)
         self.link = self.entry.hub.wait_for(self.context.link_address, 2)
 
     def stop_sidecar(self) -> None:
-        """Stop the sidecar without a word."""
+        """Stop the sidecar without a drain or a leave notice."""
         self.role.stop()
         self.context.hub.stop()
 
@@ -110,11 +114,11 @@
         self.server.stop()
 
     def attempt(self, program: str, seq: int = 1, number: int = 1) -> AttemptId:
-        """Name an attempt for this life of the sidecar."""
-        return AttemptId(program, seq, number, "s1", self.journal.node().incarnation)
+        """Return the id of an attempt for the current incarnation of the sidecar."""
+        return AttemptId(program, seq, number, "s1", self.control.node().incarnation)
 
     def dispatch(self, attempt: AttemptId, body: str, **options) -> Dispatch:
-        """Make a dispatch of a model or service call."""
+        """Return a dispatch of a model or service call."""
         deadline_ms = options.pop("deadline_ms", 5_000)
         if self.kind is ServerKind.MODEL:
             options = {"max_tokens": 100, "stream": True, **options}
@@ -135,12 +139,14 @@
         return eventually(lambda: ends(attempt))[0]
 
     def ends_of(self, attempt: AttemptId) -> list[AttemptEnded]:
-        """Return the ends heard so far."""
-        return [m for m in self.heard[attempt.key] if isinstance(m, AttemptEnded)]
+        """Return the ends received so far."""
+        return [m for m in self.received_by_attempt[attempt.key] if isinstance(m, AttemptEnded)]
 
     def text_of(self, attempt: AttemptId) -> str:
-        """Return the streamed text heard so far."""
-        return "".join(m.text for m in self.heard[attempt.key] if isinstance(m, Chunk))
+        """Return the streamed text received so far."""
+        return "".join(
+            m.text for m in self.received_by_attempt[attempt.key] if isinstance(m, Chunk)
+        )
 
     def _context(self, name: str):
         metrics = make_metrics(None, 0, name)
@@ -148,22 +154,22 @@
 
 
 @pytest.fixture(autouse=True)
-def quick_rounds(monkeypatch):
-    """Let the rounds that wait for lost messages come soon enough for a test."""
-    monkeypatch.setattr(_reconciler, "RECONCILE_SECONDS", 0.2)
+def short_reconcile_interval(monkeypatch):
+    """Shorten the interval of reconcile rounds, which repair lost messages."""
+    monkeypatch.setattr(_reconciler, "RECONCILE_INTERVAL_SECONDS", 0.2)
 
 
 @pytest.fixture
-def engine_path():
-    """A sidecar beside a fake engine."""
-    path = Path(ServerKind.MODEL)
-    yield path
-    path.stop()
+def engine_harness():
+    """A sidecar with a fake engine."""
+    harness = SidecarHarness(ServerKind.MODEL)
+    yield harness
+    harness.stop()
 
 
 @pytest.fixture
-def service_path():
-    """A sidecar beside a fake service."""
-    path = Path(ServerKind.SERVICE)
-    yield path
-    path.stop()
+def service_harness():
+    """A sidecar with a fake service."""
+    harness = SidecarHarness(ServerKind.SERVICE)
+    yield harness
+    harness.stop()
