--- a/libs/daemon/tarragonhall_daemon/__init__.py
+++ b/libs/daemon/tarragonhall_daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon that runs one or more roles in one process."""
+"""The daemon, which runs one or more roles in one process."""
--- a/libs/daemon/tarragonhall_daemon/__main__.py
+++ b/libs/daemon/tarragonhall_daemon/__main__.py
@@ -1,15 +1,15 @@
-"""`tarragonhalld`: run the roles that a settings file names."""
+"""`tarragonhalld`: runs the roles that a settings file names."""
 
 from __future__ import annotations
 
 import warnings
 
-# The deprecation is known and weighed in the docs; on every start it would only hide other lines.
+# The deprecation is accepted, and its warning at every start would only clutter the output.
 warnings.filterwarnings("ignore", message="\\s*Eventlet is deprecated")
 
 import eventlet  # noqa: E402
 
-# Before any other import: a module that took the unpatched socket would block the whole loop.
+# Must precede all other imports: a module bound to the unpatched socket blocks the event loop.
 eventlet.monkey_patch()
 
 import json  # noqa: E402
@@ -24,12 +24,12 @@
 from tarragonhall_daemon._settings import OPTIONS, load_settings, read_secret  # noqa: E402
 
 VERSION = "0.1.0"
-EXIT_INPUT = 2
+EXIT_INVALID_INPUT = 2
 
 SETTINGS_HELP = "Settings file of this process, in JSON."
 CHECK_HELP = "Check the settings file, print every finding, and exit."
 SCHEMA_HELP = "Print the JSON Schema of the settings file and exit."
-INIT_HELP = "Make the link secret, the data folder and the first operator; print its token once."
+INIT_HELP = "Create the link secret, the data folder and the first operator; print its token once."
 
 
 @click.command(context_settings={"help_option_names": ["-h", "--help"]})
@@ -39,7 +39,7 @@
 @click.option("--schema", is_flag=True, help=SCHEMA_HELP)
 @click.option("--init", "first_start", is_flag=True, help=INIT_HELP)
 def cli(settings_file: Path | None, check: bool, schema: bool, first_start: bool) -> None:
-    """Run the roles of tarragonhall that a settings file names."""
+    """Run the tarragonhall roles that a settings file names."""
     if schema:
         click.echo(json.dumps(OPTIONS.schema(), indent=2))
         return
@@ -57,7 +57,7 @@
 
 
 def main() -> None:
-    """Run the command; show mistakes of the user without a traceback."""
+    """Run the command; print user errors without a traceback."""
     try:
         cli(standalone_mode=False)
     except click.ClickException as error:
@@ -67,7 +67,7 @@
         sys.exit(1)
     except TarragonhallError as error:
         click.echo(f"tarragonhalld: {type(error).__name__}\n{error}", err=True)
-        sys.exit(EXIT_INPUT)
+        sys.exit(EXIT_INVALID_INPUT)
 
 
 if __name__ == "__main__":
--- a/libs/daemon/tarragonhall_daemon/_init.py
+++ b/libs/daemon/tarragonhall_daemon/_init.py
@@ -1,4 +1,4 @@
-"""First start of a deployment: the link secret, the data folder and the first operator."""
+"""Initialises a deployment: the link secret, the data folder and the first operator."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from tarragonhall_daemon._settings import MIN_SECRET_BYTES, DaemonSettings
 
 
-def make_secret(path: Path) -> bool:
-    """Write a new link secret that only its owner can read; return whether there was none yet."""
+def create_secret(path: Path) -> bool:
+    """Create a link secret that only its owner can read; return False if the file exists."""
     try:
         descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600)
     except FileExistsError:
@@ -27,10 +27,12 @@
 
 
 def initialise(settings: DaemonSettings) -> str:
-    """Prepare a new deployment; return the first operator's token, which is shown only once."""
+    """Initialise a deployment; return the first operator's token, which is shown only once."""
     if settings.control is None:
-        raise InputError([Finding("/control", "only an instance with the control role is set up")])
+        raise InputError(
+            [Finding("/control", "only an instance with the control role can be initialised")]
+        )
     from tarragonhall_control import initialise as initialise_control
 
-    make_secret(Path(settings.link.secret_file))
+    create_secret(Path(settings.link.secret_file))
     return initialise_control(settings.control, settings.instance)
--- a/libs/daemon/tarragonhall_daemon/_run.py
+++ b/libs/daemon/tarragonhall_daemon/_run.py
@@ -1,4 +1,4 @@
-"""Run the roles of one process from start to graceful stop."""
+"""Runs the roles of one process from start to graceful stop."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 
 
 def run_daemon(settings: DaemonSettings) -> int:
-    """Run until a signal asks to stop; return the exit code."""
-    lines = set_up_logs(settings.instance, settings.log_level)
+    """Run until a stop signal; return the exit code."""
+    log_writer = set_up_logs(settings.instance, settings.log_level)
     stop = _stop_event()
     context = _context(settings)
     roles = start_roles(settings, context)
@@ -35,20 +35,21 @@
     eventlet.spawn_n(report_regularly, context.hub.traffic, context.incarnation)
     signal_number = stop.wait()
     log.info("daemon.stopping", signal=signal.Signals(signal_number).name)
-    signal.signal(signal.SIGTERM, _force)
-    signal.signal(signal.SIGINT, _force)
-    ended = stop_roles(roles, settings.stop_timeout_ms / 1000, context)
+    signal.signal(signal.SIGTERM, _exit_on_second_signal)
+    signal.signal(signal.SIGINT, _exit_on_second_signal)
+    drained = stop_roles(roles, settings.stop_timeout_ms / 1000, context)
     context.hub.stop()
     report_traffic(context.hub.traffic, context.incarnation)
-    log.info("daemon.stopped", forced=not ended)
-    lines.flush()
-    return 0 if ended else EXIT_FORCED
+    log.info("daemon.stopped", forced=not drained)
+    log_writer.flush()
+    return 0 if drained else EXIT_FORCED
 
 
 def start_roles(settings: DaemonSettings, context: ProcessContext) -> list[tuple[str, Role]]:
-    """Start the roles in the order in which they need one another.
+    """Start the roles in the order of their dependencies.
 
-    Roles that do not run here are not imported: a sidecar must fit beside its backend server.
+    Roles that do not run here are not imported, to save memory: a sidecar shares its machine with a
+    backend server.
     """
     roles: list[tuple[str, Role]] = []
     if settings.control is not None:
@@ -70,20 +71,20 @@
 
 
 def stop_roles(roles: list[tuple[str, Role]], timeout_s: float, context: ProcessContext) -> bool:
-    """Drain the roles, those nearest to the callers first; return whether all ended in time.
+    """Drain the roles, those closest to the callers first; return whether all finished in time.
 
-    The order matters where roles share a process: an entry that finishes its calls still needs the
-    sidecar to run them and control to commit them.
+    If roles share a process, an entry that drains its calls still needs the sidecar to run them and
+    control to commit them.
     """
     deadline = context.monotonic() + timeout_s
-    ended = True
+    drained = True
     for name, role in reversed(roles):
-        left = max(0.0, deadline - context.monotonic())
-        if not role.drain(left):
+        remaining_s = max(0.0, deadline - context.monotonic())
+        if not role.drain(remaining_s):
             log.warning("daemon.drain_forced", role=name)
-            ended = False
+            drained = False
         role.stop()
-    return ended
+    return drained
 
 
 def _context(settings: DaemonSettings) -> ProcessContext:
@@ -105,16 +106,16 @@
 def _stop_event() -> eventlet.event.Event:
     stop = eventlet.event.Event()
 
-    def ask_to_stop(signal_number: int, _frame: object) -> None:
-        # A signal can arrive inside any green thread; the event must be sent from the loop itself.
+    def request_stop(signal_number: int, _frame: object) -> None:
+        # A signal can interrupt any green thread; the event must be sent from the event loop.
         if not stop.ready():
             eventlet.hubs.get_hub().schedule_call_global(0, stop.send, signal_number)
 
-    signal.signal(signal.SIGTERM, ask_to_stop)
-    signal.signal(signal.SIGINT, ask_to_stop)
+    signal.signal(signal.SIGTERM, request_stop)
+    signal.signal(signal.SIGINT, request_stop)
     return stop
 
 
-def _force(signal_number: int, _frame: object) -> None:
+def _exit_on_second_signal(signal_number: int, _frame: object) -> None:
     log.warning("daemon.forced", signal=signal.Signals(signal_number).name)
     raise SystemExit(EXIT_FORCED)
--- a/libs/daemon/tarragonhall_daemon/_settings.py
+++ b/libs/daemon/tarragonhall_daemon/_settings.py
@@ -1,4 +1,4 @@
-"""The settings file of one process: which roles it runs, and how it reaches the others."""
+"""The settings file of one process: the roles that it runs, and how it connects to the others."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LinkSettings:
-    """How this process links to the others.
+    """The links of this process to the others.
 
     `controls` are the link addresses of all control members. `secret_file` holds the secret that
     all processes of one deployment share.
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StatsdSettings:
-    """Where metrics go."""
+    """The StatsD server that receives the metrics."""
 
     host: str
     port: int
@@ -50,7 +50,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DaemonSettings:
-    """All settings of one process. A role that is absent does not run here."""
+    """All settings of one process. A role without settings does not run here."""
 
     instance: str
     availability_zone: str
@@ -64,32 +64,34 @@
     stop_timeout_ms: int
 
 
-def _check_whole(made: DaemonSettings, place: str) -> Iterable[Finding]:
-    if made.control is None and made.entry is None and not made.sidecars:
+def _check_settings(settings: DaemonSettings, place: str) -> Iterable[Finding]:
+    if settings.control is None and settings.entry is None and not settings.sidecars:
         yield Finding(place, "no role: set at least one of control, entry and sidecars")
-    yield from _check_control(made, place)
+    yield from _check_control_settings(settings, place)
     seen: set[str] = set()
-    for index, sidecar in enumerate(made.sidecars):
+    for index, sidecar in enumerate(settings.sidecars):
         if sidecar.server_id in seen:
-            here = f"{place}/sidecars/{index}/server_id"
-            yield Finding(here, f"{sidecar.server_id!r} is used twice")
+            field_place = f"{place}/sidecars/{index}/server_id"
+            yield Finding(field_place, f"{sidecar.server_id!r} is used twice")
         seen.add(sidecar.server_id)
 
 
-def _check_control(made: DaemonSettings, place: str) -> Iterable[Finding]:
-    if made.control is None:
+def _check_control_settings(settings: DaemonSettings, place: str) -> Iterable[Finding]:
+    if settings.control is None:
         return
-    own = made.control.members.get(made.instance)
+    own = settings.control.members.get(settings.instance)
     if own is None:
-        yield Finding(f"{place}/control/members", f"does not name this instance {made.instance!r}")
-    elif own != made.link.listen:
-        here = f"{place}/control/members/{made.instance}"
-        yield Finding(here, f"is {own}, but link/listen is {made.link.listen}")
-    for name, address in made.control.members.items():
-        if address in made.link.controls:
+        yield Finding(
+            f"{place}/control/members", f"does not name this instance {settings.instance!r}"
+        )
+    elif own != settings.link.listen:
+        field_place = f"{place}/control/members/{settings.instance}"
+        yield Finding(field_place, f"is {own}, but link/listen is {settings.link.listen}")
+    for name, address in settings.control.members.items():
+        if address in settings.link.controls:
             continue
-        here = f"{place}/link/controls"
-        yield Finding(here, f"does not hold the address of member {name!r}, {address}")
+        field_place = f"{place}/link/controls"
+        yield Finding(field_place, f"does not hold the address of member {name!r}, {address}")
 
 
 OPTIONS = Group(
@@ -115,15 +117,15 @@
             default=None,
         ),
         "log_level": Choice(("debug", "info", "warning", "error"), default="info"),
-        # Long enough for the longest stream that callers use; the platform's own limit comes next.
+        # Long enough for the longest stream of a caller, but below the platform's own limit.
         "stop_timeout_ms": Whole(120_000, minimum=1_000),
     },
-    check=_check_whole,
+    check=_check_settings,
 )
 
 
 def load_settings(path: Path) -> DaemonSettings:
-    """Read and check a settings file; raise `InputError` with every finding."""
+    """Load and check a settings file; raise `InputError` with every finding."""
     try:
         text = path.read_text()
     except OSError as error:
@@ -131,14 +133,14 @@
     except UnicodeDecodeError as error:
         raise InputError([Finding(str(path), f"malformed JSON: {error}")]) from error
     value = parse_json(text, str(path))
-    made, findings = OPTIONS.load(value)
+    settings, findings = OPTIONS.load(value)
     if findings:
         raise InputError(findings)
-    return _resolve_paths(made, path.parent)
+    return _resolve_paths(settings, path.parent)
 
 
 def read_secret(path: Path) -> bytes:
-    """Return the link secret; raise `InputError` where it is missing or short."""
+    """Return the link secret; raise `InputError` if it is missing or too short."""
     try:
         secret = path.read_bytes().strip()
     except OSError as error:
@@ -149,10 +151,10 @@
     return secret
 
 
-def _resolve_paths(made: DaemonSettings, folder: Path) -> DaemonSettings:
-    """Make the file paths relative to the settings file's folder."""
-    link = replace(made.link, secret_file=str(folder / made.link.secret_file))
-    control = made.control
+def _resolve_paths(settings: DaemonSettings, folder: Path) -> DaemonSettings:
+    """Resolve file paths relative to the folder of the settings file."""
+    link = replace(settings.link, secret_file=str(folder / settings.link.secret_file))
+    control = settings.control
     if control is not None:
         control = replace(control, data_folder=str(folder / control.data_folder))
-    return replace(made, link=link, control=control)
+    return replace(settings, link=link, control=control)
--- a/libs/daemon/tests/settings_tests.py
+++ b/libs/daemon/tests/settings_tests.py
@@ -4,24 +4,24 @@
 from pathlib import Path
 
 import pytest
-from tarragonhall_daemon._init import make_secret
+from tarragonhall_daemon._init import create_secret
 from tarragonhall_daemon._settings import OPTIONS, load_settings, read_secret
 from tarragonhall_model import InputError
 
 EXAMPLES = Path(__file__).resolve().parents[3] / "examples"
 
 
-def example() -> dict:
+def example_settings() -> dict:
     return json.loads((EXAMPLES / "one-instance.json").read_text())
 
 
-def places(value: dict) -> set[str]:
+def finding_places(value: dict) -> set[str]:
     _, findings = OPTIONS.load(value)
     return {finding.place for finding in findings}
 
 
 @pytest.mark.parametrize("file", sorted(EXAMPLES.rglob("*.json")), ids=lambda file: file.stem)
-def test_every_example_is_free_of_findings(file):
+def test_every_example_file_is_valid(file):
     assert load_settings(file).instance
 
 
@@ -31,52 +31,52 @@
 
 
 def test_findings_of_all_roles_are_reported_at_once():
-    value = example()
+    value = example_settings()
     value["entry"]["listne"] = "127.0.0.1:1"
     value["sidecars"][1]["slots"] = 0
     value["control"]["admin"] = "nowhere"
-    assert places(value) == {"/entry/listne", "/sidecars/1/slots", "/control/admin"}
+    assert finding_places(value) == {"/entry/listne", "/sidecars/1/slots", "/control/admin"}
 
 
-def test_a_member_whose_address_is_not_its_own_is_found():
-    # A settings file is copied to a second instance and its listen address is forgotten. The two
+def test_a_listen_address_that_differs_from_the_member_address_is_reported():
+    # A settings file was copied to a second instance without changing its listen address. The two
     # members would answer for each other, and one vote could count twice.
-    value = example()
+    value = example_settings()
     value["link"]["listen"] = "127.0.0.1:7499"
-    assert "/control/members/tx-austin-1" in places(value)
+    assert "/control/members/tx-austin-1" in finding_places(value)
 
 
-def test_two_sidecars_with_one_server_id_are_found():
-    value = example()
+def test_a_duplicate_server_id_is_reported():
+    value = example_settings()
     value["sidecars"][1]["server_id"] = "engine-1"
-    assert places(value) == {"/sidecars/1/server_id"}
+    assert finding_places(value) == {"/sidecars/1/server_id"}
 
 
-def test_a_process_without_a_role_is_found():
-    value = example()
+def test_settings_without_a_role_are_reported():
+    value = example_settings()
     del value["control"], value["entry"], value["sidecars"]
-    assert places(value) == {""}
+    assert finding_places(value) == {""}
 
 
-def test_a_name_that_stands_twice_is_refused(tmp_path):
-    # The usual parser keeps the last of two equal names; the operator's first value would be lost
-    # without a word.
+def test_a_duplicate_name_is_rejected(tmp_path):
+    # The standard JSON parser keeps the last of two equal names, so the operator's first value
+    # would be dropped silently.
     file = tmp_path / "settings.json"
     file.write_text('{"instance": "a", "instance": "b"}')
     with pytest.raises(InputError, match="stands twice"):
         load_settings(file)
 
 
-def test_a_secret_is_made_once_and_only_its_owner_can_read_it(tmp_path):
+def test_a_secret_is_created_once_and_only_its_owner_can_read_it(tmp_path):
     path = tmp_path / "link.secret"
-    assert make_secret(path)
+    assert create_secret(path)
     first = read_secret(path)
-    assert not make_secret(path)
+    assert not create_secret(path)
     assert read_secret(path) == first
     assert path.stat().st_mode & 0o077 == 0
 
 
-def test_a_short_secret_is_refused(tmp_path):
+def test_a_short_secret_is_rejected(tmp_path):
     path = tmp_path / "link.secret"
     path.write_text("short")
     with pytest.raises(InputError, match="holds 5 bytes"):
