--- a/libs/cli/tarragonhall_cli/__init__.py
+++ b/libs/cli/tarragonhall_cli/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' command-line tool, which talks HTTP to the admin API."""
+"""The operators' command-line tool, an HTTP client of the admin API."""
--- a/libs/cli/tarragonhall_cli/__main__.py
+++ b/libs/cli/tarragonhall_cli/__main__.py
@@ -26,11 +26,11 @@
 PROGRAM = "tarragonhall"
 
 ADMIN_HELP = "Admin address (host:port) of a control member; repeat for several."
-TOKEN_HELP = "Operator token. Better kept in a profile or in TARRAGONHALL_TOKEN."
+TOKEN_HELP = "Operator token; preferably set in a profile or in TARRAGONHALL_TOKEN."
 PROFILE_HELP = "Profile to use."
 PROFILES_HELP = "Profiles file."
 JSON_HELP = "Print JSON instead of a table."
-SINCE_HELP = "Only events of the last so many seconds."
+SINCE_HELP = "Only events of the last N seconds."
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
@@ -64,7 +64,7 @@
 @cli.command()
 @click.pass_obj
 def status(session: Session) -> None:
-    """Show whether the deployment is well."""
+    """Show the state of the deployment."""
     _cluster.show_status(session.client, session.out)
 
 
@@ -73,7 +73,7 @@
 @click.option("--since", type=float, help=SINCE_HELP)
 @click.pass_obj
 def timeline(session: Session, program: str | None, since: float | None) -> None:
-    """Show the events of all processes in one order."""
+    """Show the events of all processes in chronological order."""
     _programs.show_timeline(session.client, session.out, program, since)
 
 
@@ -81,44 +81,44 @@
 @click.argument("file", type=click.Path(path_type=Path))
 @click.pass_obj
 def snapshot(session: Session, file: Path) -> None:
-    """Save all configuration in force to a file."""
+    """Save the effective configuration to a file."""
     _cluster.save_snapshot(session.client, file)
 
 
 @cli.command()
-@click.argument("wanted", metavar="ID")
+@click.argument("target_id", metavar="ID")
 @click.argument("files", type=click.Path(exists=True, path_type=Path), nargs=-1, required=True)
 @click.option("--json", "as_json", is_flag=True, help=JSON_HELP)
-def explain(wanted: str, files: tuple[Path, ...], as_json: bool) -> None:
-    """Show the life of a request, turn or program out of log files."""
-    made = _explain.explain(wanted, _explain.read_lines(files))
-    if not made.lines:
-        raise click.ClickException(f"no line names {wanted}")
+def explain(target_id: str, files: tuple[Path, ...], as_json: bool) -> None:
+    """Reconstruct the history of a request, turn or program from log files."""
+    result = _explain.explain(target_id, _explain.read_lines(files))
+    if not result.lines:
+        raise click.ClickException(f"no log line mentions {target_id}")
     if as_json:
-        click.echo(json.dumps(_explain.as_value(made), indent=2))
+        click.echo(json.dumps(_explain.as_value(result), indent=2))
         return
-    click.echo(_explain.show(made))
+    click.echo(_explain.as_text(result))
 
 
 @cli.command()
 @click.argument("files", type=click.Path(exists=True, path_type=Path), nargs=-1, required=True)
 def losses(files: tuple[Path, ...]) -> None:
     """Count the calls that were not served, by cause, organisation and second."""
-    made = _losses.count_losses(_explain.read_lines(files))
-    if not made.calls:
-        raise click.ClickException("no line tells of the end of a call")
-    click.echo(_losses.show(made))
+    result = _losses.count_losses(_explain.read_lines(files))
+    if not result.calls:
+        raise click.ClickException("no log line reports the end of a call")
+    click.echo(_losses.as_text(result))
 
 
 @cli.command()
 @click.argument("files", type=click.Path(exists=True, path_type=Path), nargs=-1, required=True)
 @click.option("--json", "as_json", is_flag=True, help=JSON_HELP)
 def traffic(files: tuple[Path, ...], as_json: bool) -> None:
-    """Add up what the processes sent, by kind of message and availability zone."""
-    made = _traffic.sum_traffic(_explain.read_lines(files))
-    if not made.bytes_by_row:
-        raise click.ClickException("no line tells what a process sent")
-    click.echo(json.dumps(made.as_value(), indent=2) if as_json else _traffic.show(made))
+    """Sum the traffic sent by the processes, by kind of message and availability zone."""
+    result = _traffic.sum_traffic(_explain.read_lines(files))
+    if not result.bytes_by_row:
+        raise click.ClickException("no log line reports the traffic of a process")
+    click.echo(json.dumps(result.as_value(), indent=2) if as_json else _traffic.as_text(result))
 
 
 @cli.command()
@@ -148,7 +148,7 @@
 
 
 def main() -> None:
-    """Run the command; show mistakes and failures in a sentence, without a traceback."""
+    """Run the command; print errors as one message, without a traceback."""
     try:
         cli(standalone_mode=False, prog_name=PROGRAM)
     except click.ClickException as error:
--- a/libs/cli/tarragonhall_cli/_values.py
+++ b/libs/cli/tarragonhall_cli/_assignments.py
@@ -1,4 +1,4 @@
-"""Read `name=value` arguments of the command line."""
+"""Parses `name=value` arguments of the command line."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 from tarragonhall_model import Finding
 
-from tarragonhall_cli._errors import RefusedInputError
+from tarragonhall_cli._errors import RejectedInputError
 
 
 def parse_assignments(texts: tuple[str, ...]) -> dict[str, object]:
-    """Return the settings given as `name=value`; values are JSON, or plain text where they are not.
+    """Return the settings given as `name=value`; values are JSON, or strings if not valid JSON.
 
-    Every text without `=` and every name given twice is reported at once.
+    All arguments without `=` and all names given twice are reported together.
     """
     findings = []
     values: dict[str, object] = {}
@@ -26,7 +26,7 @@
             continue
         values[name] = _parse_value(value)
     if findings:
-        raise RefusedInputError("cannot read the settings given", findings)
+        raise RejectedInputError("invalid settings arguments", findings)
     return values
 
 
--- a/libs/cli/tarragonhall_cli/_client.py
+++ b/libs/cli/tarragonhall_cli/_client.py
@@ -1,4 +1,4 @@
-"""The admin API over HTTP, with resends that cannot take effect twice."""
+"""An HTTP client of the admin API, whose retries cannot apply a change twice."""
 
 from __future__ import annotations
 
@@ -15,66 +15,67 @@
     ConflictError,
     NotAllowedError,
     NotFoundError,
-    RefusedInputError,
+    RejectedInputError,
     ServiceUnavailableError,
     ToolError,
     UnreachableError,
 )
 from tarragonhall_cli._profiles import Profile
 
-CONNECT_SECONDS = 2.0
-READ_SECONDS = 10.0
-# An election takes a second or two; an operator should not have to repeat a command for it.
-GIVE_UP_SECONDS = 15.0
-PAUSE_SECONDS = 0.25
-UNAVAILABLE = 503
+CONNECT_TIMEOUT_SECONDS = 2.0
+READ_TIMEOUT_SECONDS = 10.0
+# Requests are retried for this long. An election takes a second or two, and operators should not
+# have to repeat a command because of one.
+RETRY_SECONDS = 15.0
+RETRY_PAUSE_SECONDS = 0.25
+STATUS_UNAVAILABLE = 503
 
 
 class AdminClient:
-    """Sends admin requests to whichever control member answers."""
+    """Sends admin requests to the first control member that answers."""
 
-    __slots__ = ("_give_up_seconds", "_http", "_profile")
+    __slots__ = ("_http", "_profile", "_retry_seconds")
 
-    def __init__(self, profile: Profile, give_up_seconds: float = GIVE_UP_SECONDS) -> None:
+    def __init__(self, profile: Profile, retry_seconds: float = RETRY_SECONDS) -> None:
         self._http = urllib3.PoolManager(retries=False)
         self._profile = profile
-        self._give_up_seconds = give_up_seconds
+        self._retry_seconds = retry_seconds
 
     def get(self, path: str, /, **query: object) -> dict:
-        """Read something."""
-        given = {name: value for name, value in query.items() if value is not None}
-        suffix = f"?{urlencode(given)}" if given else ""
-        return self._until_answered("GET", f"/admin/v1/{path}{suffix}", None)
+        """Send a GET request; query parameters that are None are left out."""
+        present = {name: value for name, value in query.items() if value is not None}
+        suffix = f"?{urlencode(present)}" if present else ""
+        return self._request_with_retries("GET", f"/admin/v1/{path}{suffix}", None)
 
-    def post(self, path: str, body: dict, read_seconds: float = READ_SECONDS) -> dict:
-        """Change something; every resend carries the same request id, so it takes effect once.
+    def post(self, path: str, body: dict, read_seconds: float = READ_TIMEOUT_SECONDS) -> dict:
+        """Send a POST request; retries carry the same request id, so a change is applied once.
 
-        `read_seconds` is how long one member may take to answer.
+        `read_seconds` is the time limit for the answer of one member.
         """
-        with_id = {"request_id": f"cli-{uuid.uuid4().hex}"} | body
-        return self._until_answered("POST", f"/admin/v1/{path}", with_id, read_seconds)
+        body_with_id = {"request_id": f"cli-{uuid.uuid4().hex}"} | body
+        return self._request_with_retries("POST", f"/admin/v1/{path}", body_with_id, read_seconds)
 
-    def delete(self, path: str, read_seconds: float = READ_SECONDS) -> dict:
-        """Take something away; doing it twice changes no more than doing it once."""
+    def delete(self, path: str, read_seconds: float = READ_TIMEOUT_SECONDS) -> dict:
+        """Send a DELETE request, which is idempotent."""
         body = {"request_id": f"cli-{uuid.uuid4().hex}"}
-        return self._until_answered("DELETE", f"/admin/v1/{path}", body, read_seconds)
+        return self._request_with_retries("DELETE", f"/admin/v1/{path}", body, read_seconds)
 
-    def _until_answered(
-        self, method: str, path: str, body: dict | None, read_seconds: float = READ_SECONDS
+    def _request_with_retries(
+        self, method: str, path: str, body: dict | None, read_seconds: float = READ_TIMEOUT_SECONDS
     ) -> dict:
-        deadline = time.monotonic() + self._give_up_seconds
-        last: ToolError = UnreachableError("no admin address is set")
+        deadline = time.monotonic() + self._retry_seconds
+        last_error: ToolError = UnreachableError("no admin address is configured")
         while True:
             for address in self._profile.admin:
                 try:
-                    return self._once(method, address, path, body, read_seconds)
+                    return self._request(method, address, path, body, read_seconds)
                 except (UnreachableError, ServiceUnavailableError) as error:
-                    last = error
+                    last_error = error
             if time.monotonic() >= deadline:
-                raise last
-            time.sleep(PAUSE_SECONDS)
+                raise last_error
+            time.sleep(RETRY_PAUSE_SECONDS)
 
-    def _once(
+    def _request(
         self, method: str, address: str, path: str, body: dict | None, read_seconds: float
     ) -> dict:
         headers = {"Authorization": f"Bearer {self._profile.token}"}
@@ -88,19 +89,19 @@
                 f"http://{address}{path}",
                 body=data,
                 headers=headers,
-                timeout=urllib3.Timeout(connect=CONNECT_SECONDS, read=read_seconds),
+                timeout=urllib3.Timeout(connect=CONNECT_TIMEOUT_SECONDS, read=read_seconds),
             )
         except HTTPError as error:
             raise UnreachableError(f"{address} does not answer: {error}") from error
-        return _read(response, address)
+        return _decode(response, address)
 
 
-def path_part(text: str) -> str:
-    """Escape a name for use as one part of a URL path."""
+def path_segment(text: str) -> str:
+    """Escape a name for use as one segment of a URL path."""
     return quote(text, safe="")
 
 
-def _read(response: urllib3.BaseHTTPResponse, address: str) -> dict:
+def _decode(response: urllib3.BaseHTTPResponse, address: str) -> dict:
     try:
         value = json.loads(response.data) if response.data else {}
     except ValueError as error:
@@ -112,7 +113,7 @@
     details = "".join(f"\n  {finding}" for finding in findings)
     match response.status:
         case 400 | 413 | 422:
-            raise RefusedInputError(message, findings)
+            raise RejectedInputError(message, findings)
         case 401 | 403:
             raise NotAllowedError(message + details)
         case 404:
--- a/libs/cli/tarragonhall_cli/_errors.py
+++ b/libs/cli/tarragonhall_cli/_errors.py
@@ -1,4 +1,4 @@
-"""Errors of the tool, each kind with its own exit code so that scripts can tell them apart."""
+"""Errors of the tool; each class has its own exit code, by which scripts distinguish them."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 
 class ToolError(TarragonhallError):
-    """Base of what the tool reports; `exit_code` is the code of the process."""
+    """Base class of the tool's errors; `exit_code` is the exit code of the process."""
 
     exit_code = 1
 
 
-class RefusedInputError(ToolError):
-    """The input was refused; nothing was changed."""
+class RejectedInputError(ToolError):
+    """The input was rejected; nothing was changed."""
 
     exit_code = 2
 
@@ -29,19 +29,19 @@
 
 
 class NotAllowedError(ToolError):
-    """The token is missing, unknown or not allowed to do this."""
+    """The token is missing, unknown or not authorised for the request."""
 
     exit_code = 4
 
 
 class NotFoundError(ToolError):
-    """What was named does not exist."""
+    """The named object does not exist."""
 
     exit_code = 5
 
 
 class ConflictError(ToolError):
-    """Another change came first; nothing was changed."""
+    """A concurrent change took effect first; nothing was changed."""
 
     exit_code = 6
 
--- a/libs/cli/tarragonhall_cli/_explain.py
+++ b/libs/cli/tarragonhall_cli/_explain.py
@@ -1,8 +1,8 @@
-"""The life of one request, turn or program out of the log lines of many processes.
+"""Reconstructs the history of one request, turn or program from the log lines of many processes.
 
-Lines are ordered by their time stamps, which may differ between machines by the difference of
-their clocks. What belongs to it: lines that carry the id, and beside them what the processes
-believed of the backend servers involved, who led, and which lines were left out.
+Lines are ordered by their time stamps, which are subject to clock skew between machines. An
+explanation holds the lines that carry the id and, from the same time, the state that its processes
+assumed of the backend servers involved, leader changes, and notices of dropped log lines.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 from datetime import datetime
 from pathlib import Path
 
-# Beliefs that decided a call were formed within seconds of it.
-BELIEF_SECONDS = 5.0
-# Events that tell what a process believed, beside those that carry the id.
-BELIEF_EVENTS = frozenset({"backend.changed", "backend.believed"})
-STATE_EVENTS = frozenset(
+# How long before a call its processes may have formed the server state that decided it.
+SERVER_STATE_SECONDS = 5.0
+# Events that report the server state assumed by a process; they do not carry the id.
+SERVER_STATE_EVENTS = frozenset({"backend.changed", "backend.believed"})
+PROCESS_STATE_EVENTS = frozenset(
     {
         "group.role",
         "group.member_change",
@@ -31,15 +31,15 @@
     }
 )
 END_EVENT = "call.end"
-SHOWN_FIRST = ("instance", "event")
-HIDDEN = frozenset({"timestamp", "level", *SHOWN_FIRST})
+LEADING_FIELDS = ("instance", "event")
+OMITTED_FIELDS = frozenset({"timestamp", "level", *LEADING_FIELDS})
 
 
 @dataclass(slots=True, frozen=True)
 class LogLine:
-    """One line: its time in seconds, its process, its event and all fields."""
+    """One log line: its time in Unix seconds, its process, its event and all fields."""
 
-    at: float
+    time_s: float
     instance: str
     event: str
     fields: dict
@@ -47,7 +47,10 @@
 
 @dataclass(slots=True)
 class Explanation:
-    """What the lines tell of one id. `silent` are processes without a line in that time."""
+    """The log lines that concern one id.
+
+    `left_out` are processes that dropped log lines in that time, `silent` those that wrote none.
+    """
 
     lines: list[LogLine] = field(default_factory=list)
     ends: list[LogLine] = field(default_factory=list)
@@ -56,91 +59,97 @@
 
 
 def read_lines(files: Iterable[Path]) -> list[LogLine]:
-    """Return the log lines of all files in the order of time; other lines are passed over."""
+    """Return the log lines of all files in chronological order; other lines are skipped."""
     found = []
     for file in files:
         for text in file.read_text(errors="replace").splitlines():
             line = _parse(text)
             if line is not None:
                 found.append(line)
-    found.sort(key=lambda line: line.at)
+    found.sort(key=lambda line: line.time_s)
     return found
 
 
-def explain(wanted: str, lines: list[LogLine]) -> Explanation:
-    """Gather what belongs to an id."""
-    direct = [line for line in lines if wanted in line.fields.values()]
-    made = Explanation()
-    if not direct:
-        return made
-    made.ends = [line for line in direct if line.event == END_EVENT]
-    first, last = _span(direct)
-    servers = {line.fields.get("server") for line in direct} - {None}
-    instances = {line.instance for line in direct}
-    near = [line for line in lines if first <= line.at <= last]
-    made.lines = [line for line in near if line in direct or _decides(line, servers, instances)]
-    made.left_out = sorted({line.instance for line in near if line.event == "log.left_out"})
-    made.silent = sorted({line.instance for line in lines} - {line.instance for line in near})
-    return made
-
-
-def show(made: Explanation) -> str:
-    """Return the time line and the ends as text."""
+def explain(target_id: str, lines: list[LogLine]) -> Explanation:
+    """Collect the log lines that concern an id."""
+    matching = [line for line in lines if target_id in line.fields.values()]
+    explanation = Explanation()
+    if not matching:
+        return explanation
+    explanation.ends = [line for line in matching if line.event == END_EVENT]
+    first, last = _time_window(matching)
+    servers = {line.fields.get("server") for line in matching} - {None}
+    instances = {line.instance for line in matching}
+    in_window = [line for line in lines if first <= line.time_s <= last]
+    explanation.lines = [
+        line for line in in_window if line in matching or _is_relevant(line, servers, instances)
+    ]
+    explanation.left_out = sorted(
+        {line.instance for line in in_window if line.event == "log.left_out"}
+    )
+    explanation.silent = sorted(
+        {line.instance for line in lines} - {line.instance for line in in_window}
+    )
+    return explanation
+
+
+def as_text(explanation: Explanation) -> str:
+    """Return the time line and the outcomes as text."""
     rows = []
-    for line in made.lines:
-        clock = datetime.fromtimestamp(line.at).strftime("%H:%M:%S.%f")[:-3]
-        rows.append(f"{clock} {line.instance:28} {line.event:20} {_fields(line)}")
-    for end in made.ends:
+    for line in explanation.lines:
+        time_of_day = datetime.fromtimestamp(line.time_s).strftime("%H:%M:%S.%f")[:-3]
+        rows.append(f"{time_of_day} {line.instance:28} {line.event:20} {_format_fields(line)}")
+    for end in explanation.ends:
         status = end.fields.get("status")
         rows.append(f"end: {status or 'broken off'}: {end.fields.get('reason')}")
-    if made.left_out:
-        rows.append(f"lines were left out by: {', '.join(made.left_out)}")
-    if made.silent:
-        rows.append(f"no line in that time from: {', '.join(made.silent)}")
+    if explanation.left_out:
+        rows.append(f"log lines dropped by: {', '.join(explanation.left_out)}")
+    if explanation.silent:
+        rows.append(f"no log lines in that time from: {', '.join(explanation.silent)}")
     return "\n".join(rows)
 
 
-def as_value(made: Explanation) -> dict:
+def as_value(explanation: Explanation) -> dict:
     """Return the explanation for `--json`."""
     return {
-        "lines": [line.fields for line in made.lines],
-        "ends": [end.fields for end in made.ends],
-        "left_out": made.left_out,
-        "silent": made.silent,
+        "lines": [line.fields for line in explanation.lines],
+        "ends": [end.fields for end in explanation.ends],
+        "left_out": explanation.left_out,
+        "silent": explanation.silent,
     }
 
 
 def _parse(text: str) -> LogLine | None:
-    # What collects the lines may write its own time and process in front of them.
+    # The log collector may prefix lines with its own time and process.
     start = text.find("{")
     if start < 0:
         return None
     try:
         fields = json.loads(text[start:])
-        at = datetime.fromisoformat(fields["timestamp"].replace("Z", "+00:00")).timestamp()
+        time_s = datetime.fromisoformat(fields["timestamp"].replace("Z", "+00:00")).timestamp()
     except (ValueError, KeyError, TypeError, AttributeError):
         return None
-    return LogLine(at, str(fields.get("instance", "")), str(fields.get("event", "")), fields)
+    return LogLine(time_s, str(fields.get("instance", "")), str(fields.get("event", "")), fields)
 
 
-def _span(direct: list[LogLine]) -> tuple[float, float]:
-    """Return from when to when beliefs count; calls are logged at their end."""
-    longest_s = max(float(line.fields.get("ms") or 0) for line in direct) / 1000
-    return direct[0].at - longest_s - BELIEF_SECONDS, direct[-1].at + 1.0
+def _time_window(matching: list[LogLine]) -> tuple[float, float]:
+    """Return the time window of relevant lines; calls are logged at their end."""
+    longest_s = max(float(line.fields.get("ms") or 0) for line in matching) / 1000
+    return matching[0].time_s - longest_s - SERVER_STATE_SECONDS, matching[-1].time_s + 1.0
 
 
-def _decides(line: LogLine, servers: set[str], instances: set[str]) -> bool:
-    if line.event in BELIEF_EVENTS:
+def _is_relevant(line: LogLine, servers: set[str], instances: set[str]) -> bool:
+    if line.event in SERVER_STATE_EVENTS:
         return line.fields.get("server") in servers and line.instance in instances
     if line.event == "view.changed":
         return line.instance in instances
-    return line.event in STATE_EVENTS
+    return line.event in PROCESS_STATE_EVENTS
 
 
-def _fields(line: LogLine) -> str:
-    shown = []
+def _format_fields(line: LogLine) -> str:
+    parts = []
     for name, value in line.fields.items():
-        if name in HIDDEN or value in (None, ""):
+        if name in OMITTED_FIELDS or value in (None, ""):
             continue
-        shown.append(f"{name}={value}")
-    return " ".join(shown)
+        parts.append(f"{name}={value}")
+    return " ".join(parts)
--- a/libs/cli/tarragonhall_cli/_output.py
+++ b/libs/cli/tarragonhall_cli/_output.py
@@ -1,4 +1,4 @@
-"""Show results as a table for people, or as JSON for scripts."""
+"""Prints results as a table for people, or as JSON for scripts."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 
 @dataclass(slots=True, frozen=True)
 class Output:
-    """How this run of the tool prints."""
+    """The output format of this run of the tool."""
 
     as_json: bool
 
     def rows(self, value: object, rows: Iterable[dict], columns: list[str]) -> None:
-        """Print the value as JSON, or its rows as a table with these columns."""
+        """Print the value as JSON, or its rows as a table of these columns."""
         if self.as_json:
             self.value(value)
             return
         cells = [[_cell(row.get(column)) for column in columns] for row in rows]
         if not cells:
-            click.echo("nothing to show")
+            click.echo("no results")
             return
         headers = [column.replace("_", " ") for column in columns]
         click.echo(tabulate(cells, headers=headers, tablefmt="plain", disable_numparse=True))
 
     def fields(self, value: dict) -> None:
-        """Print one object, a line for each field."""
+        """Print one object, one line per field."""
         if self.as_json:
             self.value(value)
             return
@@ -43,7 +43,7 @@
 
 
 def clock_time(wall_ms: int) -> str:
-    """Return a time of day in UTC, to the millisecond."""
+    """Format Unix milliseconds as a time of day in UTC."""
     moment = datetime.fromtimestamp(wall_ms / 1000, UTC)
     return moment.strftime("%H:%M:%S.") + f"{moment.microsecond // 1000:03d}"
 
--- a/libs/cli/tarragonhall_cli/_profiles.py
+++ b/libs/cli/tarragonhall_cli/_profiles.py
@@ -1,4 +1,4 @@
-"""Profiles: where the admin API is, and with which token, for each deployment."""
+"""Profiles: the admin addresses and the token of each deployment."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 from tarragonhall_model import Address, Finding, Group, ListOf, MapOf, Text
 
-from tarragonhall_cli._errors import RefusedInputError
+from tarragonhall_cli._errors import RejectedInputError
 
 DEFAULT_FILE = Path("~/.config/tarragonhall/profiles.json")
 
 
 @dataclass(slots=True, frozen=True)
 class Profile:
-    """One deployment: the admin addresses of its control members, and the operator's token."""
+    """One deployment: the admin addresses of its control members and the operator's token."""
 
     admin: list[str]
     token: str
@@ -25,14 +25,14 @@
 
 
 def choose_profile(file: Path, name: str, admin: list[str], token: str | None) -> Profile:
-    """Return the profile to use: what is given directly comes before what the file says."""
+    """Return the profile to use; options on the command line override the file."""
     if admin and token:
         return Profile(admin, token)
     profile = _read_profiles(file).get(name)
     if profile is None:
         missing = "--token" if admin else "--admin" if token else "--admin and --token"
         message = f"no profile {name!r} in {file}; set one there, or give {missing}"
-        raise RefusedInputError(message, [])
+        raise RejectedInputError(message, [])
     return Profile(admin or profile.admin, token or profile.token)
 
 
@@ -43,8 +43,8 @@
     try:
         value = json.loads(path.read_text())
     except (OSError, ValueError) as error:
-        raise RefusedInputError(f"cannot read {path}", [Finding(str(path), str(error))]) from error
+        raise RejectedInputError(f"cannot read {path}", [Finding(str(path), str(error))]) from error
     profiles, findings = OPTIONS.load(value, "")
     if findings:
-        raise RefusedInputError(f"{path} has findings", findings)
+        raise RejectedInputError(f"{path} is invalid", findings)
     return profiles
--- a/libs/cli/tarragonhall_cli/_programs.py
+++ b/libs/cli/tarragonhall_cli/_programs.py
@@ -6,14 +6,14 @@
 
 import click
 
-from tarragonhall_cli._client import AdminClient, path_part
+from tarragonhall_cli._client import AdminClient, path_segment
 from tarragonhall_cli._output import Output, clock_time
 
 MS_PER_SECOND = 1_000
 
 
 def list_programs(client: AdminClient, out: Output, org_id: str | None, status: str | None) -> None:
-    """List programs with what they spent."""
+    """List programs with their usage and budgets."""
     answer = client.get("programs", org=org_id, status=status)
     columns = ["program_id", "org_id", "status", "next_seq", "spent", "budget"]
     out.rows(answer, answer["programs"], columns)
@@ -21,18 +21,18 @@
 
 def show_program(client: AdminClient, out: Output, program_id: str) -> None:
     """Show one program."""
-    out.fields(client.get(f"programs/{path_part(program_id)}"))
+    out.fields(client.get(f"programs/{path_segment(program_id)}"))
 
 
 def cancel_program(client: AdminClient, out: Output, program_id: str) -> None:
     """Cancel a program and its sub-agents."""
-    out.fields(client.post(f"programs/{path_part(program_id)}/cancel", {}))
+    out.fields(client.post(f"programs/{path_segment(program_id)}/cancel", {}))
 
 
 def show_timeline(
     client: AdminClient, out: Output, program_id: str | None, since_seconds: float | None
 ) -> None:
-    """Show the events of all processes in one order."""
+    """Show the events of all processes in chronological order."""
     since_ms = None
     if since_seconds is not None:
         since_ms = int((time.time() - since_seconds) * MS_PER_SECOND)
--- a/libs/cli/tarragonhall_cli/_session.py
+++ b/libs/cli/tarragonhall_cli/_session.py
@@ -1,4 +1,4 @@
-"""One run of the tool: its client and its output."""
+"""The session of one run of the tool: its client and its output."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Session:
-    """The client and the output of one run; the profile is read when it is first needed."""
+    """The client and the output of one run; the profile is read on first use."""
 
     __slots__ = ("_client", "_options", "out")
 
--- a/libs/cli/tarragonhall_cli/_settings.py
+++ b/libs/cli/tarragonhall_cli/_settings.py
@@ -8,8 +8,8 @@
 import click
 from tarragonhall_model import KEY_PREFIX, TOKEN_PREFIX, Finding, new_secret, secret_hash
 
-from tarragonhall_cli._client import AdminClient, path_part
-from tarragonhall_cli._errors import RefusedInputError
+from tarragonhall_cli._client import AdminClient, path_segment
+from tarragonhall_cli._errors import RejectedInputError
 from tarragonhall_cli._files import read_json_object, write_json
 from tarragonhall_cli._output import Output
 
@@ -40,7 +40,7 @@
     replaces: str | None,
     overlap_seconds: int,
 ) -> None:
-    """Grant a key. It is made here: only its hash is sent, and it is shown this once."""
+    """Grant a key. It is generated here: only its hash is sent, and it is shown only once."""
     key = new_secret(KEY_PREFIX)
     body: dict[str, object] = {"org_id": org_id, "key_hash": secret_hash(key)}
     if hours is not None:
@@ -52,14 +52,14 @@
 
 
 def list_keys(client: AdminClient, out: Output, org_id: str | None) -> None:
-    """List keys by their ids; the keys themselves are stored nowhere."""
+    """List keys by their ids; the keys themselves are not stored."""
     answer = client.get("keys", org=org_id)
     out.rows(answer, answer["keys"], ["key_id", "org_id", "expires_at_ms", "granted_by"])
 
 
 def withdraw_key(client: AdminClient, out: Output, key_id: str) -> None:
     """Withdraw a key."""
-    out.fields(client.delete(f"keys/{path_part(key_id)}"))
+    out.fields(client.delete(f"keys/{path_segment(key_id)}"))
 
 
 def set_settings(
@@ -71,7 +71,7 @@
     expected_revision: int | None,
     dry_run: bool,
 ) -> None:
-    """Change the settings at a path. Without an expected revision, the one in force now counts."""
+    """Change the settings at a path; `expected_revision` defaults to the current one."""
     if expected_revision is None:
         expected_revision = client.get("settings", path=path)["revision"]
     body = {
@@ -85,13 +85,13 @@
 
 
 def get_settings(client: AdminClient, out: Output, path: str) -> None:
-    """Show what is in force at a path, and where each value comes from."""
+    """Show the effective settings at a path and the origin of each value."""
     answer = client.get("settings", path=path)
     out.rows(answer, _effective_rows(answer), ["name", "value", "from"])
 
 
 def explain_setting(client: AdminClient, out: Output, path: str, name: str) -> None:
-    """Show every level that has a say in one setting."""
+    """Show every level that contributes to one setting."""
     answer = client.get("settings/explain", path=path, name=name)
     out.rows(answer, answer["levels"], ["path", "value", "in_force"])
 
@@ -106,7 +106,7 @@
 def settings_diff(
     client: AdminClient, out: Output, path: str, from_revision: int, to_revision: int | None
 ) -> None:
-    """Show what differs between two revisions."""
+    """Show the differences between two revisions."""
     answer = client.get("settings/diff", path=path, **{"from": from_revision, "to": to_revision})
     out.rows(answer, answer["differences"], ["path", "name", "before", "after"])
 
@@ -114,7 +114,7 @@
 def rollback(
     client: AdminClient, out: Output, path: str, to_revision: int, expected_revision: int | None
 ) -> None:
-    """Bring a subtree back to an earlier revision, as a new change."""
+    """Restore a subtree to an earlier revision, as a new change."""
     if expected_revision is None:
         expected_revision = client.get("settings", path=path)["revision"]
     body = {"path": path, "to_revision": to_revision, "expected_revision": expected_revision}
@@ -133,13 +133,15 @@
 def import_settings(
     client: AdminClient, out: Output, path: str, file: Path, expected_revision: int | None
 ) -> None:
-    """Replace a subtree by what a file holds."""
+    """Replace a subtree by the one in a file."""
     if expected_revision is None:
         expected_revision = client.get("settings", path=path)["revision"]
     tree = read_json_object(file)
     nodes = tree.get("nodes")
     if not isinstance(nodes, dict):
-        raise RefusedInputError(f"{file} is no export", [Finding("/nodes", "is required")])
+        raise RejectedInputError(
+            f"{file} is not a settings export", [Finding("/nodes", "is required")]
+        )
     body = {"path": path, "nodes": nodes, "expected_revision": expected_revision}
     out.fields(client.post("settings/import", body))
 
@@ -147,7 +149,7 @@
 def set_model(
     client: AdminClient, out: Output, name: str, version: str, min_replicas: int, max_tokens: int
 ) -> None:
-    """Put a version of a model in force."""
+    """Activate a version of a model."""
     body = {
         "name": name,
         "version": version,
@@ -158,13 +160,13 @@
 
 
 def list_models(client: AdminClient, out: Output) -> None:
-    """List the models and their versions in force."""
+    """List the models and their active versions."""
     answer = client.get("models")
     out.rows(answer, answer["models"], ["name", "version", "min_replicas", "max_tokens"])
 
 
 def create_operator(client: AdminClient, out: Output, name: str, path: str, role: str) -> None:
-    """Create an operator who may act on one subtree. As with keys, only a hash is sent."""
+    """Create an operator with access to one subtree; only the hash of the token is sent."""
     token = new_secret(TOKEN_PREFIX)
     body = {"name": name, "path": path, "role": role, "token_hash": secret_hash(token)}
     answer = client.post("operators", body)
@@ -173,7 +175,7 @@
 
 def remove_operator(client: AdminClient, out: Output, name: str) -> None:
     """Remove an operator; the token stops working."""
-    out.fields(client.delete(f"operators/{path_part(name)}"))
+    out.fields(client.delete(f"operators/{path_segment(name)}"))
 
 
 def list_operators(client: AdminClient, out: Output) -> None:
@@ -190,5 +192,5 @@
 
 
 def show_token_note() -> None:
-    """Remind the operator on standard error that the secret is not stored."""
-    click.echo("Keep it now: only its hash is stored, and it is not shown again.", err=True)
+    """Print a reminder to standard error that the secret is shown only once."""
+    click.echo("Save it now: only its hash is stored, and it is not shown again.", err=True)
--- a/libs/cli/tarragonhall_cli/_settings_commands.py
+++ b/libs/cli/tarragonhall_cli/_settings_commands.py
@@ -7,14 +7,14 @@
 import click
 
 from tarragonhall_cli import _settings
+from tarragonhall_cli._assignments import parse_assignments
 from tarragonhall_cli._session import Session
-from tarragonhall_cli._values import parse_assignments
 
-EXPECT_HELP = "Revision that must still be in force; another one makes the change a conflict."
-DRY_RUN_HELP = "Check the change and show its effect without making it."
-HOURS_HELP = "Hours until the key expires; without it the key does not expire."
+EXPECT_HELP = "Revision that must be current; otherwise the change is rejected as a conflict."
+DRY_RUN_HELP = "Validate the change and show its effect without applying it."
+HOURS_HELP = "Hours until the key expires; by default it does not expire."
 REPLACES_HELP = "Id of the key that the new one replaces."
-OVERLAP_HELP = "Seconds for which the replaced key goes on working."
+OVERLAP_HELP = "Seconds for which the replaced key stays valid."
 
 
 @click.group()
@@ -54,7 +54,7 @@
 def key_grant(
     session: Session, org_id: str, hours: float | None, replaces: str | None, overlap: int
 ) -> None:
-    """Grant a key to an organisation; it is shown this once."""
+    """Grant a key to an organisation; it is shown only once."""
     _settings.grant_key(session.client, session.out, org_id, hours, replaces, overlap)
     _settings.show_token_note()
 
@@ -84,14 +84,14 @@
 @click.argument("path", default="/")
 @click.pass_obj
 def settings_get(session: Session, path: str) -> None:
-    """Show what is in force at PATH and where it comes from."""
+    """Show the effective settings at PATH and their origin."""
     _settings.get_settings(session.client, session.out, path)
 
 
 @settings.command("set")
 @click.argument("path")
 @click.argument("values", nargs=-1)
-@click.option("--unset", multiple=True, help="Take the setting away here, so that it is inherited.")
+@click.option("--unset", multiple=True, help="Remove the setting here, so that it is inherited.")
 @click.option("--expect", type=int, help=EXPECT_HELP)
 @click.option("--dry-run", is_flag=True, help=DRY_RUN_HELP)
 @click.pass_obj
@@ -113,7 +113,7 @@
 @click.argument("name")
 @click.pass_obj
 def settings_explain(session: Session, path: str, name: str) -> None:
-    """Show every level that has a say in setting NAME at PATH."""
+    """Show every level that contributes to setting NAME at PATH."""
     _settings.explain_setting(session.client, session.out, path, name)
 
 
@@ -131,7 +131,7 @@
 @click.argument("to_revision", type=int, required=False)
 @click.pass_obj
 def settings_diff(session: Session, path: str, from_revision: int, to_revision: int | None) -> None:
-    """Show what differs between two revisions."""
+    """Show the differences between two revisions."""
     _settings.settings_diff(session.client, session.out, path, from_revision, to_revision)
 
 
@@ -141,7 +141,7 @@
 @click.option("--expect", type=int, help=EXPECT_HELP)
 @click.pass_obj
 def settings_rollback(session: Session, path: str, to_revision: int, expect: int | None) -> None:
-    """Bring the subtree at PATH back to a revision, as a new change."""
+    """Restore the subtree at PATH to a revision, as a new change."""
     _settings.rollback(session.client, session.out, path, to_revision, expect)
 
 
@@ -178,7 +178,7 @@
 def rate_set(
     session: Session, path: str, per_second: float, burst: float, expect: int | None
 ) -> None:
-    """Set the calls a second and the burst at PATH."""
+    """Set the calls per second and the burst at PATH."""
     values = {"rate.per_second": per_second, "rate.burst": burst}
     _settings.set_settings(session.client, session.out, path, values, [], expect, False)
 
@@ -192,7 +192,7 @@
 @click.argument("path")
 @click.option("--tokens", type=int, help="Generated tokens of a program and its sub-agents.")
 @click.option("--calls", type=int, help="Calls of a program and its sub-agents.")
-@click.option("--seconds", type=int, help="Wall time since the program was opened.")
+@click.option("--seconds", type=int, help="Wall-clock time since the program was opened.")
 @click.option("--expect", type=int, help=EXPECT_HELP)
 @click.pass_obj
 def budget_set(
@@ -203,7 +203,7 @@
     seconds: int | None,
     expect: int | None,
 ) -> None:
-    """Set what a program opened from now on may use at PATH."""
+    """Set the budget at PATH of programs opened from now on."""
     given = {"budget.tokens": tokens, "budget.calls": calls, "budget.seconds": seconds}
     values = {name: value for name, value in given.items() if value is not None}
     if not values:
@@ -219,13 +219,15 @@
 @model.command("set")
 @click.argument("name")
 @click.argument("version")
-@click.option("--min-replicas", type=int, default=1, show_default=True, help="Replicas to keep.")
-@click.option("--max-tokens", type=int, default=4_096, show_default=True, help="Limit of one call.")
+@click.option(
+    "--min-replicas", type=int, default=1, show_default=True, help="Minimum number of replicas."
+)
+@click.option("--max-tokens", type=int, default=4_096, show_default=True, help="Limit per call.")
 @click.pass_obj
 def model_set(
     session: Session, name: str, version: str, min_replicas: int, max_tokens: int
 ) -> None:
-    """Put VERSION of model NAME in force."""
+    """Activate VERSION of model NAME."""
     _settings.set_model(session.client, session.out, name, version, min_replicas, max_tokens)
 
 
@@ -249,11 +251,11 @@
     type=click.Choice(["reader", "editor", "admin"]),
     default="editor",
     show_default=True,
-    help="What the operator may do in the subtree.",
+    help="Access level in the subtree.",
 )
 @click.pass_obj
 def operator_create(session: Session, name: str, path: str, role: str) -> None:
-    """Create an operator for the subtree at PATH; the token is shown this once."""
+    """Create an operator for the subtree at PATH; the token is shown only once."""
     _settings.create_operator(session.client, session.out, name, path, role)
     _settings.show_token_note()
 
--- a/libs/cli/tarragonhall_cli/_system_commands.py
+++ b/libs/cli/tarragonhall_cli/_system_commands.py
@@ -55,7 +55,7 @@
 @click.option("--undo", is_flag=True, help="End the drain.")
 @click.pass_obj
 def server_drain(session: Session, server_id: str, undo: bool) -> None:
-    """Give a backend server no new work."""
+    """Stop sending new calls to a backend server."""
     _cluster.drain_server(session.client, session.out, server_id, not undo)
 
 
@@ -75,7 +75,7 @@
 @click.argument("zone")
 @click.pass_obj
 def zones_evacuate(session: Session, zone: str) -> None:
-    """Send no new calls to the backend servers of a zone."""
+    """Stop sending new calls to the backend servers of a zone."""
     _cluster.evacuate_zone(session.client, session.out, zone, True)
 
 
@@ -83,7 +83,7 @@
 @click.argument("zone")
 @click.pass_obj
 def zones_return(session: Session, zone: str) -> None:
-    """End the evacuation of a zone; its servers are filled gradually."""
+    """End the evacuation of a zone; load on its servers rises gradually."""
     _cluster.evacuate_zone(session.client, session.out, zone, False)
 
 
@@ -118,8 +118,8 @@
 
 @member.command("replace")
 @click.argument("member_id")
-@click.option("--address", help="New link address, where it changed.")
+@click.option("--address", help="New link address, if it changed.")
 @click.pass_obj
 def member_replace(session: Session, member_id: str, address: str | None) -> None:
-    """Take a member whose data folder was lost back in, under its new identity."""
+    """Readmit a member that lost its data folder, under its new identity."""
     _cluster.replace_member(session.client, session.out, member_id, address)
--- a/libs/cli/tarragonhall_cli/_traffic.py
+++ b/libs/cli/tarragonhall_cli/_traffic.py
@@ -1,4 +1,4 @@
-"""What the processes of a deployment sent, added up from their log lines by kind of message."""
+"""Sums the traffic that processes report in their log lines, by kind of message."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Row:
-    """One kind of message from one role, to processes of the same or another zone."""
+class TrafficRow:
+    """One kind of message of one role, to processes of the same or another zone."""
 
     role: str
     kind: str
@@ -41,31 +41,33 @@
 
 
 def sum_traffic(lines: list[LogLine]) -> TrafficSums:
-    """Add up the last totals of each life of each process."""
-    last_by_life: dict[tuple[str, str], LogLine] = {}
+    """Add up the last totals of each incarnation of each process."""
+    last_by_incarnation: dict[tuple[str, str], LogLine] = {}
     for line in lines:
         if line.event != TRAFFIC_EVENT or not isinstance(line.fields.get("totals"), dict):
             continue
-        last_by_life[(line.instance, str(line.fields.get("incarnation")))] = line
-    made = TrafficSums()
-    for line in last_by_life.values():
+        last_by_incarnation[(line.instance, str(line.fields.get("incarnation")))] = line
+    traffic = TrafficSums()
+    for line in last_by_incarnation.values():
         role = line.instance.rpartition("/")[2]
         for name, (messages, size) in line.fields["totals"].items():
             kind, _, scope = name.rpartition(" ")
-            row = Row(role, kind, scope)
-            made.messages_by_row[row] += messages
-            made.bytes_by_row[row] += size
-    return made
+            row = TrafficRow(role, kind, scope)
+            traffic.messages_by_row[row] += messages
+            traffic.bytes_by_row[row] += size
+    return traffic
 
 
-def show(made: TrafficSums) -> str:
+def as_text(traffic: TrafficSums) -> str:
     """Return the rows as a table, most bytes first."""
     rows = [f"{'bytes':>12} {'messages':>9}  {'scope':8} {'role':8} kind"]
-    for row, size in made.bytes_by_row.most_common():
-        count = made.messages_by_row[row]
+    for row, size in traffic.bytes_by_row.most_common():
+        count = traffic.messages_by_row[row]
         rows.append(f"{size:12} {count:9}  {row.scope:8} {row.role:8} {row.kind}")
-    sums: Counter = Counter()
-    for row, size in made.bytes_by_row.items():
-        sums[row.scope] += size
-    rows.extend(f"{size:12} {'':9}  {scope:8} in all" for scope, size in sorted(sums.items()))
+    bytes_by_scope: Counter = Counter()
+    for row, size in traffic.bytes_by_row.items():
+        bytes_by_scope[row.scope] += size
+    rows.extend(
+        f"{size:12} {'':9}  {scope:8} total" for scope, size in sorted(bytes_by_scope.items())
+    )
     return "\n".join(rows)
--- a/libs/cli/tests/explain_tests.py
+++ b/libs/cli/tests/explain_tests.py
@@ -1,4 +1,4 @@
-"""The life of a failed request out of the logs of several processes."""
+"""Reconstructing the history of a failed request from the logs of several processes."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
     return str(path)
 
 
-def test_a_refused_call_is_explained_by_what_its_processes_believed(tmp_path):
-    # A user complains of one refusal. The logs of two processes hold thousands of other lines.
+def test_a_rejected_call_is_explained_by_the_server_state_of_its_processes(tmp_path):
+    # The explanation of one rejected call must leave out unrelated servers and calls in the logs.
     entry = write(
         tmp_path,
         "entry.log",
@@ -45,8 +45,8 @@
     assert "i-1" in text and "i-2" not in text and "a-2" not in text
     assert text.index("group.role") < text.index("backend.believed") < text.index("call.not_run")
     assert "end: 503: every server is full" in text
-    assert "left out by: control-1" in text
-    assert "no line in that time from: entry-9" in text
+    assert "log lines dropped by: control-1" in text
+    assert "no log lines in that time from: entry-9" in text
     value = json.loads(runner.invoke(cli, ["explain", "a-1", entry, control, "--json"]).output)
     assert value["ends"][0]["status"] == 503
 
@@ -63,8 +63,8 @@
     assert "end: broken off: broke off" in text
 
 
-def test_an_unknown_id_is_said_to_be_unknown(tmp_path):
+def test_an_unknown_id_is_an_error(tmp_path):
     log = write(tmp_path, "entry.log", line(1.0, "entry-1", "link.up"))
     result = CliRunner().invoke(cli, ["explain", "nobody", log])
     assert result.exit_code == 1
-    assert "no line names nobody" in result.output
+    assert "no log line mentions nobody" in result.output
--- a/libs/cli/tests/log_events_tests.py
+++ b/libs/cli/tests/log_events_tests.py
@@ -12,6 +12,6 @@
 
 
 def test_the_page_of_log_events_agrees_with_the_code():
-    # On-call engineers search for events by the page; one that is missing there is not searched.
+    # On-call engineers look up events in the page and would overlook one that is missing there.
     page = (ROOT / "docs" / "user-guide" / "log-events.md").read_text()
     assert log_events.table() in page, "run tools/log_events.py and put its table in the page"
--- a/libs/cli/tests/losses_tests.py
+++ b/libs/cli/tests/losses_tests.py
@@ -1,4 +1,4 @@
-"""Counting the calls that were not served, out of the logs of several processes."""
+"""Counting the calls that were not served from the logs of several processes."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from tarragonhall_cli.__main__ import cli
 
 
-def end(second: float, call_id: str, status: int | None, reason: str, **fields) -> str:
+def call_end_line(second: float, call_id: str, status: int | None, reason: str, **fields) -> str:
     stamp = f"2026-01-02T03:04:{second:09.6f}Z"
     line = {"timestamp": stamp, "instance": "entry-1", "event": "call.end", "id": call_id}
     return json.dumps({**line, "status": status, "reason": reason, **fields})
@@ -21,20 +21,22 @@
 
 
 def test_losses_are_counted_by_cause_organisation_and_second(tmp_path):
-    # An entry froze, and hundreds of calls were refused within two seconds. Whoever asks why needs
-    # the causes in order of size, not the lines of one call after the other.
+    # When an entry freezes, hundreds of calls are rejected within two seconds. Operators need the
+    # causes ordered by frequency, not the log lines of each call.
     result = run(
         tmp_path,
-        end(1.0, "a-1", 200, "answered", organisation="shop", program="p-1", ms=20.5),
-        "  1.2 edge-1 " + end(1.2, "a-2", 503, "no server of x1 is known", program="p-2"),
-        end(3.1, "a-3", 503, "no server of x2 is known", organisation="shop", program="p-2"),
-        end(3.2, "a-4", None, "client_gone", organisation="shop", program="p-3"),
-        end(3.3, "a-5", 402, "the budget is spent", organisation="shop", program="p-4"),
+        call_end_line(1.0, "a-1", 200, "answered", organisation="shop", program="p-1", ms=20.5),
+        "  1.2 edge-1 " + call_end_line(1.2, "a-2", 503, "no server of x1 is known", program="p-2"),
+        call_end_line(
+            3.1, "a-3", 503, "no server of x2 is known", organisation="shop", program="p-2"
+        ),
+        call_end_line(3.2, "a-4", None, "client_gone", organisation="shop", program="p-3"),
+        call_end_line(3.3, "a-5", 402, "the budget is spent", organisation="shop", program="p-4"),
     )
     assert result.exit_code == 0, result.output
     text = result.output
     assert "5 calls, 3 not served" in text
-    # Names that differ from call to call do not part one cause into many.
+    # Names that vary between calls do not split a cause.
     assert "2 calls     1 programs  503: no server of * is known" in text
     assert "1 calls     1 programs  broken off: client_gone" in text
     assert "1 calls answered  402: the budget is spent" in text
@@ -46,4 +48,4 @@
 def test_files_without_ends_of_calls_are_an_error(tmp_path):
     result = run(tmp_path, "started by hand")
     assert result.exit_code != 0
-    assert "no line tells of the end of a call" in result.output
+    assert "no log line reports the end of a call" in result.output
--- a/libs/cli/tests/tool_tests.py
+++ b/libs/cli/tests/tool_tests.py
@@ -7,15 +7,15 @@
 import pytest
 from click.testing import CliRunner
 from tarragonhall_cli.__main__ import cli, main
+from tarragonhall_cli._assignments import parse_assignments
 from tarragonhall_cli._client import AdminClient
-from tarragonhall_cli._errors import ConflictError, RefusedInputError, UnreachableError
+from tarragonhall_cli._errors import ConflictError, RejectedInputError, UnreachableError
 from tarragonhall_cli._profiles import Profile
-from tarragonhall_cli._values import parse_assignments
 from tarragonhall_model import secret_hash
 
 
 class ScriptedAdmin:
-    """A stand-in for the admin API that gives scripted answers and keeps what it was sent."""
+    """A fake admin API that sends scripted answers and records the requests."""
 
     def __init__(self, answers: list[tuple[int, dict] | None]) -> None:
         admin = self
@@ -56,22 +56,22 @@
     started = []
 
     def start(*answers):
-        made = ScriptedAdmin(list(answers))
-        started.append(made)
-        return made
+        fake_admin = ScriptedAdmin(list(answers))
+        started.append(fake_admin)
+        return fake_admin
 
     yield start
-    for made in started:
-        made.stop()
+    for fake_admin in started:
+        fake_admin.stop()
 
 
 def run(admin: ScriptedAdmin, *arguments: str):
     return CliRunner().invoke(cli, ["--admin", admin.address, "--token", "tho_x", *arguments])
 
 
-def test_a_change_whose_answer_was_lost_is_sent_again_under_the_same_request_id(admin):
-    # The connection breaks after the change was sent, so the operator cannot know whether it took
-    # effect. Sent again under a new id, a grant would leave a second, unknown key.
+def test_a_change_is_retried_with_the_same_request_id(admin):
+    # The connection breaks after the change was sent, so the tool cannot know whether it took
+    # effect. Retried under a new id, a grant would create a second, unknown key.
     server = admin(None, (200, {"revision": 4}))
     client = AdminClient(Profile([server.address], "tho_x"))
     assert client.post("settings", {"path": "/a"}) == {"revision": 4}
@@ -79,37 +79,37 @@
     assert first == second
 
 
-def test_a_member_that_is_down_is_passed_over(admin):
-    # One of the control members is lost, and the profile names it first. Without trying the
-    # others, the operator could change nothing although a majority is well.
+def test_a_member_that_is_down_is_skipped(admin):
+    # The first control member in the profile is down. Without trying the others, the operator could
+    # change nothing although a majority is running.
     server = admin((200, {"ok": True}))
     client = AdminClient(Profile(["127.0.0.1:1", server.address], "tho_x"))
     assert client.get("status") == {"ok": True}
 
 
-def test_when_nobody_answers_the_tool_says_so_and_ends():
-    client = AdminClient(Profile(["127.0.0.1:1"], "tho_x"), give_up_seconds=0.0)
+def test_an_error_is_raised_if_no_member_answers():
+    client = AdminClient(Profile(["127.0.0.1:1"], "tho_x"), retry_seconds=0.0)
     with pytest.raises(UnreachableError, match="does not answer"):
         client.get("status")
 
 
-def test_a_lost_race_is_told_with_what_is_in_force(admin):
-    # Two operators change the same setting under the same revision. The one who lost must see the
-    # value in force, or they would believe that their own is.
+def test_a_conflict_reports_the_current_revision(admin):
+    # Two operators change the same setting at the same revision. The one whose change is rejected
+    # must see the current revision, or they would assume that their own took effect.
     server = admin((409, {"error": "conflict", "message": "revision 8 is in force"}))
     client = AdminClient(Profile([server.address], "tho_x"))
     with pytest.raises(ConflictError, match="revision 8 is in force"):
         client.post("settings", {})
 
 
-def test_every_finding_of_the_service_is_shown(admin):
+def test_every_finding_of_the_api_is_shown(admin):
     findings = [
         {"place": "/set/rate.burst", "message": "expected a number"},
         {"place": "/set/wieght", "message": "unknown name 'wieght'; did you mean 'weight'?"},
     ]
     server = admin((422, {"message": "2 findings", "findings": findings}))
     client = AdminClient(Profile([server.address], "tho_x"))
-    with pytest.raises(RefusedInputError) as caught:
+    with pytest.raises(RejectedInputError) as caught:
         client.post("settings", {})
     assert "/set/rate.burst: expected a number" in str(caught.value)
     assert "did you mean 'weight'?" in str(caught.value)
@@ -126,9 +126,9 @@
     server = admin((200, {"name": "x"}))
     result = run(server, "--json", *command)
     shown = json.loads(result.stdout)[shown_as]
-    sent = server.received[0][2]
-    assert sent[sent_as] == secret_hash(shown)
-    assert shown not in json.dumps(sent)
+    sent_body = server.received[0][2]
+    assert sent_body[sent_as] == secret_hash(shown)
+    assert shown not in json.dumps(sent_body)
 
 
 def test_an_operator_is_removed_by_name(admin):
@@ -137,7 +137,7 @@
     assert server.received[0][:2] == ("DELETE", "/admin/v1/operators/ana%20maria")
 
 
-def test_a_change_without_an_expected_revision_takes_the_one_in_force(admin):
+def test_the_expected_revision_defaults_to_the_current_one(admin):
     server = admin((200, {"revision": 7, "effective": {}}), (200, {"revision": 8}))
     result = run(server, "rate", "set", "/lunch", "5", "10")
     assert result.exit_code == 0
@@ -145,7 +145,7 @@
     assert server.received[1][2]["set"] == {"rate.per_second": 5.0, "rate.burst": 10.0}
 
 
-def test_tables_are_for_people_and_json_for_scripts(admin):
+def test_results_are_printed_as_a_table_or_as_json(admin):
     models = {"models": [{"name": "planner-8b", "version": "v2", "min_replicas": 1}]}
     server = admin((200, models), (200, models))
     assert run(server, "model", "list").stdout.splitlines()[1].split()[:2] == ["planner-8b", "v2"]
@@ -153,16 +153,16 @@
 
 
 def test_all_unreadable_assignments_are_reported_at_once():
-    with pytest.raises(RefusedInputError) as caught:
+    with pytest.raises(RejectedInputError) as caught:
         parse_assignments(("weight=2", "burst", "=3", "weight=4"))
     assert [finding.place for finding in caught.value.findings] == ["burst", "=3", "weight"]
 
 
-def test_values_are_json_where_they_can_be():
+def test_values_are_parsed_as_json_if_possible():
     assert parse_assignments(("a=1", "b=true", "c=v2")) == {"a": 1, "b": True, "c": "v2"}
 
 
-def test_a_mistake_ends_with_a_sentence_and_its_own_exit_code(monkeypatch, capsys, tmp_path):
+def test_a_user_error_ends_with_a_message_and_its_exit_code(monkeypatch, capsys, tmp_path):
     profiles = str(tmp_path / "none.json")
     monkeypatch.setattr("sys.argv", ["tarragonhall", "--profiles", profiles, "status"])
     with pytest.raises(SystemExit) as caught:
@@ -171,16 +171,18 @@
     assert "no profile 'default'" in capsys.readouterr().err
 
 
-def test_a_member_change_is_waited_for_longer_than_a_setting(admin, monkeypatch):
-    # A new member takes in a snapshot before it votes, which takes longer than any setting. A tool
-    # that gives up first tells the operator that nobody answers, while the change goes on.
+def test_a_member_change_has_a_longer_timeout_than_a_settings_change(admin, monkeypatch):
+    # A new member installs a snapshot before it votes, which takes longer than any settings change.
+    # A tool that times out first would report that no member answers while the change continues.
     server = admin((200, {"members": []}), (200, {}))
-    patience = []
-    once = AdminClient._once
-    monkeypatch.setattr(AdminClient, "_once", lambda *a: (patience.append(a[-1]), once(*a))[1])
+    read_timeouts = []
+    send_request = AdminClient._request
+    monkeypatch.setattr(
+        AdminClient, "_request", lambda *a: (read_timeouts.append(a[-1]), send_request(*a))[1]
+    )
     run(server, "member", "add", "control-4", "127.0.0.1:7400")
     run(server, "model", "set", "planner-8b", "v2")
-    assert patience[0] > 60 > patience[1]
+    assert read_timeouts[0] > 60 > read_timeouts[1]
 
 
 def test_zones_are_listed_evacuated_and_returned(admin):
@@ -199,7 +201,7 @@
     assert [one[2]["evacuated"] for one in api.received[1:]] == [True, False]
 
 
-def test_a_zone_that_is_mistyped_ends_with_the_reason(admin):
+def test_an_unknown_zone_is_reported_with_the_reason(admin):
     message = "no availability zone 'tx-wako'; known are tx-waco"
     api = admin((404, {"error": "not_found", "message": message, "findings": []}))
     shown = run(api, "zones", "evacuate", "tx-wako")
--- a/libs/cli/tests/traffic_tests.py
+++ b/libs/cli/tests/traffic_tests.py
@@ -1,4 +1,4 @@
-"""Adding up what the processes of a deployment sent."""
+"""Summing the traffic of the processes of a deployment."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from tarragonhall_cli.__main__ import cli
 
 
-def line(second: int, instance: str, life: str, **totals) -> str:
+def line(second: int, instance: str, incarnation: str, **totals) -> str:
     stamp = f"2026-01-02T03:04:{second:02}.000000Z"
     named = {name.replace("_", " "): value for name, value in totals.items()}
     event = {"timestamp": stamp, "instance": instance, "event": "process.traffic"}
-    return json.dumps({**event, "incarnation": life, "totals": named})
+    return json.dumps({**event, "incarnation": incarnation, "totals": named})
 
 
 def run(folder, *arguments: str, lines: list[str]):
@@ -21,7 +21,7 @@
     return CliRunner().invoke(cli, ["traffic", *arguments, str(file)])
 
 
-def test_the_last_totals_of_each_life_are_added_up(tmp_path):
+def test_the_last_totals_of_each_incarnation_are_added_up(tmp_path):
     result = run(
         tmp_path,
         "--json",
@@ -47,10 +47,10 @@
 def test_the_table_ends_with_the_sum_of_each_scope(tmp_path):
     result = run(tmp_path, lines=[line(1, "edge-1/entry", "a", EntryLoad_between=[1, 100])])
     assert "100" in result.output.splitlines()[-1]
-    assert "between  in all" in result.output.splitlines()[-1]
+    assert "between  total" in result.output.splitlines()[-1]
 
 
 def test_files_without_totals_are_an_error(tmp_path):
     result = run(tmp_path, lines=["started by hand"])
     assert result.exit_code != 0
-    assert "no line tells what a process sent" in result.output
+    assert "no log line reports the traffic of a process" in result.output
