--- a/libs/state/tarragonhall_state/__init__.py
+++ b/libs/state/tarragonhall_state/__init__.py
@@ -1,8 +1,8 @@
 """State machines over the log: settings tree, keys, operators, views and the program journal.
 
 `ControlState` is the `Machine` that the consensus library drives: `apply(index, data)` decodes a
-`model.Command`, sends it to the part that owns it, and returns that command's result record. Its
-other methods are queries without side effects, which the control role asks of its own copy.
+`model.Command`, dispatches it to the component that owns it, and returns the result record. Its
+other methods are queries without side effects, which the control role runs on its local replica.
 """
 
 from __future__ import annotations
@@ -55,12 +55,12 @@
         "Operator",
         "OperatorRole",
     ),
-    "_policy": ("DELTA_REVISIONS",),
-    "_programs": ("KEEP_ENDED_MS",),
+    "_policy": ("MAX_DELTA_REVISIONS",),
+    "_programs": ("ENDED_PROGRAM_RETENTION_MS",),
     "_requests": (
-        "JOURNAL_ENTRIES",
+        "MAX_JOURNAL_REQUESTS",
         "JOURNAL_WINDOW_MS",
-        "OPERATOR_ENTRIES",
+        "MAX_OPERATOR_REQUESTS",
         "OPERATOR_WINDOW_MS",
     ),
     "_tree": (
--- a/libs/state/tarragonhall_state/_calls.py
+++ b/libs/state/tarragonhall_state/_calls.py
@@ -1,4 +1,4 @@
-"""The calls of one journal shard: order, reservations, attempts and answers."""
+"""Calls of one journal shard: ordering, reservations, attempts and answers."""
 
 from __future__ import annotations
 
@@ -26,30 +26,30 @@
 )
 
 from tarragonhall_state._program import Attempt, AttemptState, Call, CallState, Program
-from tarragonhall_state._programs import NOT_FOUND, Programs
+from tarragonhall_state._programs import PROGRAM_NOT_FOUND, Programs
 from tarragonhall_state._requests import CallReference
 
-# 100,000 tokens of history are about 400 KB of text; this leaves room for bodies that are no text
-# of the model. A program without a bound would fill the memory of every control member.
+# 100,000 tokens of history are about 400 KB of text; the rest is for bodies that are not model
+# text. A program without a limit would fill the memory of every control member.
 MAX_HISTORY_BYTES = 2 * 1024 * 1024
-# Each attempt of a call that may be repeated holds a reservation of its own until its end is known.
+# Each attempt of a repeatable call holds its own reservation until its outcome is known.
 MAX_ATTEMPTS = 20
-# An early call is worth another try about when a short call before it could have ended.
-EARLY_RETRY_MS = 200
+# Roughly the duration of a short call: by then the call or reservation in the way may have ended.
+RETRY_AFTER_MS = 200
 
 CallOutcome = CallOpened | CallRunning | CallClosed | Refusal
 
 
 class Calls:
-    """The transitions of calls; the programs themselves are shared with `Programs`."""
+    """The state transitions of calls; the program records are shared with `Programs`."""
 
     __slots__ = ("_programs",)
 
     def __init__(self, programs: Programs) -> None:
         self._programs = programs
 
-    def open(self, command: OpenCall, living_entries: Container[str], now_ms: int) -> CallOutcome:
-        """Open a call in order, or tell what became of the same call."""
+    def open(self, command: OpenCall, live_entries: Container[str], now_ms: int) -> CallOutcome:
+        """Open the next call of a program, or return the state of a call that was opened before."""
         program = self._programs.find(command.program_id, command.org_id)
         if isinstance(program, Refusal):
             return program
@@ -57,15 +57,15 @@
         existing = program.call(spec.seq)
         if existing is not None:
             if not _is_same_call(existing.spec, spec):
-                return Refusal(RefusalCode.CONFLICT, f"call {spec.seq} had another body")
-            return self._open_again(program, existing, command, living_entries)
+                return Refusal(RefusalCode.CONFLICT, f"call {spec.seq} has a different body")
+            return self._reopen(program, existing, command, live_entries)
         refusal = self._refuse_open(program, spec, now_ms)
         if refusal is not None:
             return refusal
-        self._programs.purse(program).reserve(spec.max_tokens)
-        call = self._put(program, spec, command.entry_id, now_ms)
+        self._programs.root_budget(program).reserve(spec.max_tokens)
+        call = self._add_call(program, spec, command.entry_id, now_ms)
         program.history_bytes += len(spec.body)
-        self._programs.touch(program, now_ms, call.deadline_at_ms)
+        self._programs.note_activity(program, now_ms, call.deadline_at_ms)
         if command.first_attempt is None:
             return _opened(program, call)
         start = StartAttempt(command.first_attempt, command.org_id, command.entry_id)
@@ -76,7 +76,7 @@
     def start_attempt(
         self, command: StartAttempt, now_ms: int
     ) -> AttemptRecorded | CallRunning | CallClosed | Refusal:
-        """Record an attempt before its dispatch; of entries that race, the first one wins."""
+        """Record an attempt before its dispatch; when entries race, the first one wins."""
         attempt_id = command.attempt
         program = self._programs.find(attempt_id.program_id, command.org_id)
         if isinstance(program, Refusal):
@@ -94,15 +94,15 @@
         if refusal is not None:
             return refusal
         if not call.holds_reservation:
-            self._programs.purse(program).reserve(call.spec.max_tokens)
+            self._programs.root_budget(program).reserve(call.spec.max_tokens)
         call.holds_reservation = False
         call.attempts.append(Attempt(attempt_id))
         call.entry_id = command.entry_id
-        self._programs.touch(program, now_ms)
+        self._programs.note_activity(program, now_ms)
         return AttemptRecorded(attempt_id)
 
     def disprove(self, command: DisproveAttempt) -> CallOpened | CallRunning | CallClosed | Refusal:
-        """Take a proof that an attempt never started and never will."""
+        """Record the proof that an attempt never started and never will."""
         found = self._find_attempt(command.attempt)
         if isinstance(found, Refusal):
             return found
@@ -126,19 +126,19 @@
             return found
         program, call, attempt = found
         if command.answer is not None:
-            self._take_answer(program, call, attempt, command.answer)
+            self._record_answer(program, call, attempt, command.answer)
         else:
-            self._take_refusal(program, call, attempt, command.refusal)
+            self._record_refusal(program, call, attempt, command.refusal)
         if call.state is not CallState.CLOSED:
             return Refusal(RefusalCode.CONFLICT, "this attempt was proved not to have run")
-        self._release_waiting(program, call)
-        self._programs.touch(program, now_ms)
+        self._release_call_reservation(program, call)
+        self._programs.note_activity(program, now_ms)
         return CallClosed(call.answer, call.refusal)
 
     def abandon(
-        self, command: AbandonCall, living_entries: Container[str], now_ms: int
+        self, command: AbandonCall, live_entries: Container[str], now_ms: int
     ) -> CallAbandoned | CallRunning | CallClosed | Refusal:
-        """Give up an open call that cannot have run, so that its number can be used again."""
+        """Abandon an open call that cannot have run, so that its number can be reused."""
         program = self._programs.find(command.program_id, command.org_id)
         if isinstance(program, Refusal):
             return program
@@ -151,19 +151,20 @@
             return CallClosed(call.answer, call.refusal)
         if call.may_have_run():
             return _running(call)
-        if call.entry_id != command.entry_id and call.entry_id in living_entries:
+        if call.entry_id != command.entry_id and call.entry_id in live_entries:
             return CallRunning(call.entry_id)
-        self._release_waiting(program, call)
+        self._release_call_reservation(program, call)
         program.history_bytes -= len(call.spec.body)
-        # The recorded attempts stay: their numbers have tombstones and must not be used again.
+        # The attempts stay recorded: sidecars hold tombstones for their numbers, which must not be
+        # reused.
         call.state = CallState.ABANDONED
-        self._programs.touch(program, now_ms)
+        self._programs.note_activity(program, now_ms)
         return CallAbandoned()
 
     def status(
-        self, program_id: str, seq: int, org_id: str, living_entries: Container[str]
+        self, program_id: str, seq: int, org_id: str, live_entries: Container[str]
     ) -> CallOutcome:
-        """Return what is known of a call, without changing it."""
+        """Return the state of a call without changing it."""
         program = self._programs.find(program_id, org_id)
         if isinstance(program, Refusal):
             return program
@@ -171,15 +172,15 @@
         if call is None:
             return Refusal(RefusalCode.NOT_FOUND, "no such call")
         known = _status(program, call)
-        if isinstance(known, CallOpened) and call.entry_id in living_entries:
+        if isinstance(known, CallOpened) and call.entry_id in live_entries:
             return CallRunning(call.entry_id)
         return known
 
-    def recall(self, program: Program, reference: CallReference) -> CallOutcome:
-        """Return the first result again to a resend, or what the call has become since.
+    def repeat_result(self, program: Program, reference: CallReference) -> CallOutcome:
+        """Return the first result again for a resend, or the state that the call has reached since.
 
-        The answer to an open may be lost after it recorded an attempt. Told that its own attempt is
-        running somewhere, the entry would wait for an end that nobody is working on.
+        The reply to an open may be lost after it recorded an attempt. An entry that received
+        `CallRunning` for its own attempt would wait for an attempt that nobody has dispatched.
         """
         call = program.call(reference.seq)
         if call is None:
@@ -188,21 +189,21 @@
             return replace(_opened(program, call), started=reference.started)
         return _status(program, call)
 
-    def _open_again(
-        self, program: Program, call: Call, command: OpenCall, living_entries: Container[str]
+    def _reopen(
+        self, program: Program, call: Call, command: OpenCall, live_entries: Container[str]
     ) -> CallOutcome:
-        """Answer a resend. A call whose entry is gone passes to the entry that asks.
+        """Handle a resend. A call whose entry is gone is reassigned to the requesting entry.
 
-        So does one that may be repeated and whose attempt the asking entry found lost: its end may
+        So is a repeatable call whose attempt the requesting entry reports lost: its outcome may
         never be known, and the call would stay open until the program expires.
         """
         known = _status(program, call)
-        if isinstance(known, CallRunning) and _is_lost(call, command, known):
+        if isinstance(known, CallRunning) and _is_lost_attempt(call, command, known):
             known = _opened(program, call)
         if not isinstance(known, CallOpened):
             return known
-        held = call.entry_id != command.entry_id and call.entry_id in living_entries
-        if held and not command.take_over:
+        owner_is_live = call.entry_id != command.entry_id and call.entry_id in live_entries
+        if owner_is_live and not command.take_over:
             return CallRunning(call.entry_id)
         if not program.is_open:
             return Refusal(RefusalCode.PROGRAM_ENDED, "the program has ended")
@@ -218,21 +219,21 @@
             return Refusal(RefusalCode.BAD_INPUT, "a model call needs max_tokens to be budgeted")
         if spec.seq > program.next_seq() or not _is_previous_closed(program, spec.seq):
             message = f"call {spec.seq - 1} has not ended yet"
-            return Refusal(RefusalCode.CONFLICT, message, retry_after_ms=EARLY_RETRY_MS)
+            return Refusal(RefusalCode.CONFLICT, message, retry_after_ms=RETRY_AFTER_MS)
         if self._programs.is_out_of_time(program, now_ms):
-            return Refusal(RefusalCode.BUDGET_EXHAUSTED, "the budget of time is used up")
+            return Refusal(RefusalCode.BUDGET_EXHAUSTED, "the time budget is exhausted")
         if program.history_bytes + len(spec.body) > MAX_HISTORY_BYTES:
             message = f"the history would be longer than {MAX_HISTORY_BYTES} bytes"
             return Refusal(RefusalCode.BUDGET_EXHAUSTED, message)
         return self._refuse_reservation(program, spec)
 
     def _refuse_reservation(self, program: Program, spec: CallSpec) -> Refusal | None:
-        purse = self._programs.purse(program)
-        if purse.fits(spec.max_tokens):
+        root_budget = self._programs.root_budget(program)
+        if root_budget.fits(spec.max_tokens):
             return None
-        if purse.may_fit_later(spec.max_tokens):
+        if root_budget.may_fit_later(spec.max_tokens):
             message = "the rest of the budget is reserved by other calls"
-            return Refusal(RefusalCode.BUDGET_EXHAUSTED, message, retry_after_ms=EARLY_RETRY_MS)
+            return Refusal(RefusalCode.BUDGET_EXHAUSTED, message, retry_after_ms=RETRY_AFTER_MS)
         return Refusal(RefusalCode.BUDGET_EXHAUSTED, "the budget does not allow this call")
 
     def _refuse_attempt(
@@ -246,12 +247,12 @@
         if len(call.attempts) >= MAX_ATTEMPTS:
             return Refusal(RefusalCode.BUDGET_EXHAUSTED, f"more than {MAX_ATTEMPTS} attempts")
         if self._programs.is_out_of_time(program, now_ms):
-            return Refusal(RefusalCode.BUDGET_EXHAUSTED, "the budget of time is used up")
+            return Refusal(RefusalCode.BUDGET_EXHAUSTED, "the time budget is exhausted")
         if call.holds_reservation:
             return None
         return self._refuse_reservation(program, call.spec)
 
-    def _put(self, program: Program, spec: CallSpec, entry_id: str, now_ms: int) -> Call:
+    def _add_call(self, program: Program, spec: CallSpec, entry_id: str, now_ms: int) -> Call:
         abandoned = program.slot(spec.seq)
         if abandoned is None:
             call = Call(spec, entry_id, now_ms)
@@ -264,7 +265,7 @@
     def _find_attempt(self, attempt_id: AttemptId) -> tuple[Program, Call, Attempt] | Refusal:
         program = self._programs.by_id.get(attempt_id.program_id)
         if program is None:
-            return NOT_FOUND
+            return PROGRAM_NOT_FOUND
         call = program.slot(attempt_id.seq)
         if call is None or not 1 <= attempt_id.number <= len(call.attempts):
             return Refusal(RefusalCode.NOT_FOUND, "no such attempt")
@@ -281,34 +282,36 @@
         if call.state is CallState.OPEN and not call.holds_reservation:
             call.holds_reservation = True
             return
-        self._programs.purse(program).release(call.spec.max_tokens)
+        self._programs.root_budget(program).release(call.spec.max_tokens)
 
-    def _take_answer(self, program: Program, call: Call, attempt: Attempt, answer: Answer) -> None:
+    def _record_answer(
+        self, program: Program, call: Call, attempt: Attempt, answer: Answer
+    ) -> None:
         if attempt.state is AttemptState.DISPROVED:
-            # It was proved that this never ran: the answer belongs to something else.
+            # The attempt is proved not to have run, so the answer belongs to something else.
             return
         attempt.state = AttemptState.ENDED
         self._settle(program, call, attempt, answer.usage.generated)
-        if call.answer is not None or call.has_run_nowhere():
+        if call.answer is not None or call.is_proved_not_run():
             return
         call.state = CallState.CLOSED
         call.answer = answer
         call.refusal = None
         program.history_bytes += len(answer.text)
 
-    def _take_refusal(
+    def _record_refusal(
         self, program: Program, call: Call, attempt: Attempt, refusal: Refusal
     ) -> None:
         if attempt.state is AttemptState.STARTED and refusal.execution is Execution.NOT_RUN:
             self._disprove(program, call, attempt)
         if attempt.state is AttemptState.STARTED and refusal.execution is Execution.COMPLETED:
-            # It ran, and nobody knows how much of its reservation it used: count all of it.
+            # It ran, but its token usage is unknown: charge the whole reservation.
             attempt.state = AttemptState.ENDED
             self._settle(program, call, attempt, call.spec.max_tokens)
         if call.state is not CallState.OPEN:
             return
         if refusal.execution is Execution.NOT_RUN and call.may_have_run():
-            # Another attempt may have run; "not run" must only be said where it is true.
+            # NOT_RUN must be certain for the whole call, and another attempt may have run.
             refusal = replace(refusal, execution=Execution.UNKNOWN)
         call.state = CallState.CLOSED
         call.refusal = refusal
@@ -324,30 +327,30 @@
             return Refusal(RefusalCode.CONFLICT, "an attempt of this call was recorded")
         call.state = CallState.CLOSED
         call.refusal = command.refusal
-        self._release_waiting(program, call)
-        self._programs.touch(program, now_ms)
+        self._release_call_reservation(program, call)
+        self._programs.note_activity(program, now_ms)
         return CallClosed(None, call.refusal)
 
     def _settle(self, program: Program, call: Call, attempt: Attempt, used: int) -> None:
         if not attempt.holds_reservation:
             return
         attempt.holds_reservation = False
-        self._programs.purse(program).settle(call.spec.max_tokens, used)
+        self._programs.root_budget(program).settle(call.spec.max_tokens, used)
 
-    def _release_waiting(self, program: Program, call: Call) -> None:
+    def _release_call_reservation(self, program: Program, call: Call) -> None:
         if not call.holds_reservation:
             return
         call.holds_reservation = False
-        self._programs.purse(program).release(call.spec.max_tokens)
+        self._programs.root_budget(program).release(call.spec.max_tokens)
 
 
 def _is_same_call(one: CallSpec, other: CallSpec) -> bool:
-    """Return whether a resend asks for the same work; how long to wait and how to hear may vary."""
+    """Return whether two specs request the same work; timeout and streaming may differ."""
     return replace(one, timeout_ms=0, stream=False) == replace(other, timeout_ms=0, stream=False)
 
 
-def _is_lost(call: Call, command: OpenCall, running: CallRunning) -> bool:
-    """Return whether the live attempt of a repeatable call is the one that was found lost."""
+def _is_lost_attempt(call: Call, command: OpenCall, running: CallRunning) -> bool:
+    """Return whether the live attempt of a repeatable call is the one reported lost."""
     lost = command.lost_attempt
     return call.spec.repeatable and lost is not None and lost == running.attempt
 
--- a/libs/state/tarragonhall_state/_checks.py
+++ b/libs/state/tarragonhall_state/_checks.py
@@ -1,4 +1,4 @@
-"""What may be wrong with a change of organisations, keys and operators; all of it at once."""
+"""Validation of changes to organisations, keys and operators; all findings are returned at once."""
 
 from __future__ import annotations
 
@@ -14,21 +14,22 @@
 
 ID_PATTERN = re.compile(r"[a-z0-9][a-z0-9._-]{0,63}")
 HASH_PATTERN = re.compile(r"[0-9a-f]{64}")
-# 15,000 are planned; the bound keeps a runaway script from filling every control member.
+# 15,000 organisations are planned; without a limit, a runaway script could fill the memory of every
+# control member.
 MAX_ORGANISATIONS = 30_000
 MAX_KEYS = 200_000
 
 
-class Stored(Protocol):
-    """The part of the configuration that the checks look at."""
+class StoredConfiguration(Protocol):
+    """The part of the configuration that the checks read."""
 
     path_by_org_id: dict[str, str]
     keys: Keys
     operators: Operators
 
 
-def check_organisation(stored: Stored, change: CreateOrganisation) -> list[Finding]:
-    """Return what is wrong with a new organisation."""
+def check_organisation(stored: StoredConfiguration, change: CreateOrganisation) -> list[Finding]:
+    """Return the findings for a new organisation."""
     findings = []
     if ID_PATTERN.fullmatch(change.org_id) is None:
         text = "expected 1 to 64 lower-case letters, digits, . _ and -"
@@ -36,16 +37,16 @@
     if change.org_id in stored.path_by_org_id:
         findings.append(Finding("/org_id", f"{change.org_id!r} exists already"))
     if change.path in stored.path_by_org_id.values():
-        findings.append(Finding("/path", "another organisation stands there"))
+        findings.append(Finding("/path", "another organisation is at this path"))
     if len(stored.path_by_org_id) >= MAX_ORGANISATIONS:
         findings.append(Finding("", f"more than {MAX_ORGANISATIONS} organisations"))
     return findings
 
 
 def check_grant(
-    stored: Stored, command: GrantKey, existing: KeyRecord | None, now_ms: int
+    stored: StoredConfiguration, command: GrantKey, existing: KeyRecord | None, now_ms: int
 ) -> list[Finding]:
-    """Return what is wrong with the grant of a key."""
+    """Return the findings for the grant of a key."""
     findings = []
     if command.org_id not in stored.path_by_org_id:
         findings.append(Finding("/org_id", f"no organisation {command.org_id!r}"))
@@ -67,8 +68,8 @@
     return findings
 
 
-def check_operator(stored: Stored, command: CreateOperator) -> list[Finding]:
-    """Return what is wrong with a new operator."""
+def check_operator(stored: StoredConfiguration, command: CreateOperator) -> list[Finding]:
+    """Return the findings for a new operator."""
     findings = check_path(command.path, "/path")
     if ID_PATTERN.fullmatch(command.name) is None:
         findings.append(Finding("/name", "expected 1 to 64 letters, digits, . _ and -"))
--- a/libs/state/tarragonhall_state/_commands.py
+++ b/libs/state/tarragonhall_state/_commands.py
@@ -1,4 +1,4 @@
-"""Commands of operators, which only the control role puts in the log, and their results."""
+"""Operator commands, which only the control role appends to the log, and their results."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @record
 class PlacedFinding:
-    """One thing wrong with a change; `place` is a JSON pointer into the request."""
+    """One error in a change; `place` is a JSON pointer into the request."""
 
     place: str
     message: str
@@ -17,7 +17,7 @@
 
 @record
 class CreateOrganisation:
-    """Create an organisation at a path of the tree, with settings of its own."""
+    """Create an organisation at a path of the tree, with its own settings."""
 
     org_id: str
     path: str
@@ -30,7 +30,7 @@
 class ChangeSettings:
     """Set and unset names at one path, if the revision in force is still the expected one.
 
-    Only the change of a model may leave the expected revision out: it names its version itself.
+    Only a change of a model may omit `expected_revision`, since it names the model version itself.
     """
 
     path: str
@@ -42,7 +42,7 @@
 
 @record
 class RollBack:
-    """Bring a subtree back to what it was at a revision, as a new change."""
+    """Restore a subtree to its state at a revision, as a new change."""
 
     path: str
     to_revision: int
@@ -64,7 +64,7 @@
 class GrantKey:
     """Grant a caller key to an organisation, by its hash.
 
-    With `replaces`, the earlier key ends `overlap_seconds` later, so that callers can change over.
+    With `replaces`, the earlier key expires after `overlap_seconds`, so that callers can switch.
     """
 
     key_hash: str
@@ -85,7 +85,7 @@
 
 @record
 class CreateOperator:
-    """Create an operator whose token reaches one subtree in one role."""
+    """Create an operator whose token grants one role on one subtree."""
 
     name: str
     token_hash: str
@@ -96,7 +96,7 @@
 
 @record
 class CreateFirstOperator:
-    """Create the operator over everything, only while there is none at all."""
+    """Create an admin at the root path, only while no operator exists."""
 
     name: str
     token_hash: str
@@ -112,7 +112,7 @@
 
 @record
 class CancelProgram:
-    """End a program of any organisation by an operator. Result: `ProgramInfo` or `Refusal`."""
+    """End a program of any organisation as an operator. Result: `ProgramInfo` or `Refusal`."""
 
     program_id: str
     status: ProgramStatus
@@ -124,7 +124,7 @@
 
 @record
 class SettingChange:
-    """One name at one path that changed; None stands for `not set here`."""
+    """One name that changed at one path; None means not set at this path."""
 
     path: str
     name: str
@@ -134,7 +134,7 @@
 
 @record
 class ChangeAccepted:
-    """The change is in the log, as this revision."""
+    """The change was committed as this revision."""
 
     revision: int
     changes: tuple[SettingChange, ...] = ()
@@ -150,7 +150,7 @@
 
 @record
 class ChangeRefused:
-    """Nothing changed. `revision` and `in_force` say what is in force instead."""
+    """Nothing changed. `revision` and `in_force` hold the current revision and values."""
 
     code: RefusalCode
     message: str
@@ -161,7 +161,7 @@
 
 @record
 class ChangeRecord:
-    """One accepted change of the settings, as the history keeps it."""
+    """One accepted change of the settings, as stored in the history."""
 
     revision: int
     at_ms: int
--- a/libs/state/tarragonhall_state/_configuration.py
+++ b/libs/state/tarragonhall_state/_configuration.py
@@ -1,7 +1,7 @@
-"""Everything operators decide: organisations, settings, keys and operators, under one revision.
+"""Operator-managed configuration: organisations, settings, keys and operators under one revision.
 
-There is one number for all of it. Racing operators who expect the same number cannot both be
-accepted, whatever they change, and a follower needs to compare a single number.
+A single revision covers all of it: of concurrent changes that expect the same revision only one is
+accepted, whatever they change, and a follower compares one number.
 """
 
 from __future__ import annotations
@@ -52,12 +52,12 @@
 )
 from tarragonhall_state._tree import SettingsTree
 
-FIRST_AUTHOR = "init"
+FIRST_OPERATOR_AUTHOR = "init"
 
 
 @mutable_record
 class ConfigurationSnapshot:
-    """The whole configuration."""
+    """The whole configuration as stored in a snapshot."""
 
     revision: int = 0
     tree: SettingsTree = field(default_factory=SettingsTree)
@@ -68,42 +68,43 @@
 
 
 class Configuration:
-    """The configuration in force; each accepted change raises the revision by one."""
+    """The configuration in force; each accepted change increments the revision."""
 
     __slots__ = ("_policy_by_org_id", "_stored")
 
     def __init__(self) -> None:
         self._stored = ConfigurationSnapshot()
-        # Resolving 15,000 organisations for each follower that starts would stop the loop.
+        # A cache: resolving 15,000 organisations for each follower that starts would block the
+        # event loop.
         self._policy_by_org_id: dict[str, OrganisationPolicy] = {}
 
     @property
     def revision(self) -> int:
-        """Return the number of the last accepted change."""
+        """Return the revision of the last accepted change."""
         return self._stored.revision
 
     @property
     def tree(self) -> SettingsTree:
-        """Return the settings tree, to be read only."""
+        """Return the settings tree, read-only."""
         return self._stored.tree
 
     @property
     def path_by_org_id(self) -> dict[str, str]:
-        """Return where each organisation stands, to be read only."""
+        """Return the path of each organisation, read-only."""
         return self._stored.path_by_org_id
 
     @property
     def keys(self) -> Keys:
-        """Return the keys, to be read only."""
+        """Return the keys, read-only."""
         return self._stored.keys
 
     @property
     def operators(self) -> Operators:
-        """Return the operators, to be read only."""
+        """Return the operators, read-only."""
         return self._stored.operators
 
     def apply(self, body: object, request_id: str, now_ms: int) -> object:
-        """Carry out a command of operators; return None for any other."""
+        """Apply an operator command; return None for any other command."""
         if isinstance(body, SettingsChange):
             return self._change_settings(body, request_id, now_ms)
         match body:
@@ -120,7 +121,7 @@
         return None
 
     def preview(self, change: SettingsChange) -> ChangeAccepted | ChangeRefused:
-        """Return what a change would give now, without changing anything (a dry run)."""
+        """Return the result that a change would have now, without applying it (a dry run)."""
         refused = self._check_revision(change)
         if refused is not None:
             return refused
@@ -130,7 +131,7 @@
         return ChangeAccepted(self.revision, tuple(changes))
 
     def policy_since(self, revision: int) -> PolicyDelta:
-        """Return what leads from a revision to the one in force; all of it to one far behind."""
+        """Return the delta from a revision to the current one; the full set if that is too old."""
         if revision >= self.revision:
             return empty_delta(self.revision)
         touched = self._stored.touch_log.since(revision)
@@ -139,7 +140,7 @@
         return self._delta(revision, touched)
 
     def organisation(self, org_id: str) -> OrganisationPolicy | None:
-        """Return what is in force for an organisation."""
+        """Return the policy in force for an organisation, or None if it is unknown."""
         path = self.path_by_org_id.get(org_id)
         if path is None:
             return None
@@ -246,7 +247,7 @@
     ) -> ChangeAccepted | ChangeRefused:
         findings = check_operator(self._stored, command)
         if findings:
-            return self._refused(RefusalCode.BAD_INPUT, "the operator was not made", findings)
+            return self._refused(RefusalCode.BAD_INPUT, "the operator was not created", findings)
         self._add_operator(command, now_ms)
         self._commit("CreateOperator", command.path, command.author, request_id, now_ms)
         self._touch(())
@@ -259,13 +260,13 @@
         if existing is not None and existing.token_hash == command.token_hash:
             return ChangeAccepted(self.revision)
         if self.operators.by_name:
-            return self._refused(RefusalCode.CONFLICT, "there is an operator already")
+            return self._refused(RefusalCode.CONFLICT, "an operator exists already")
         first = CreateOperator(
             name=command.name,
             token_hash=command.token_hash,
             path=ROOT_PATH,
             role=OperatorRole.ADMIN.value,
-            author=FIRST_AUTHOR,
+            author=FIRST_OPERATOR_AUTHOR,
         )
         return self._create_operator(first, request_id, now_ms)
 
@@ -277,7 +278,7 @@
             return self._refused(RefusalCode.NOT_FOUND, f"no operator {command.name!r}")
         others = [one for one in self.operators.by_name.values() if one is not operator]
         if not any(one.may(OperatorRole.ADMIN, ROOT_PATH) for one in others):
-            message = "this is the last admin over everything; nobody could make another"
+            message = "this is the last admin at the root path; nobody could create another"
             return self._refused(RefusalCode.CONFLICT, message)
         del self.operators.by_name[command.name]
         self._commit("RemoveOperator", operator.path, command.author, request_id, now_ms)
--- a/libs/state/tarragonhall_state/_follower.py
+++ b/libs/state/tarragonhall_state/_follower.py
@@ -1,9 +1,9 @@
-"""What a process without a log knows of settings and view, and for how long it may act on it.
+"""Read-only replica of settings and view in a process without a log, with a freshness lease.
 
-A control member behind a silent partition would go on serving old settings, and a process that was
-paused would go on using its own. Both would keep a withdrawn key working. So every answer counts
-from the instant its question was sent, on this process's monotonic clock, and once the lease is
-over `is_fresh` is false and nothing may be admitted.
+A control member in a silent partition would go on serving old settings, and a process that was
+paused would go on using its own; either way a withdrawn key would keep working. So the lease
+starts when the request was sent, by this process's monotonic clock, and once it has expired
+`is_fresh` is false and nothing may be admitted.
 """
 
 from __future__ import annotations
@@ -20,8 +20,9 @@
     apply_view_delta,
 )
 
-# Seconds for which a process may act on settings that were current when it last asked. Below the
-# 5 s within which a change must be in force, above a heartbeat and an election.
+# How long a process may act on settings that were current when it sent its last request. Below the
+# 5 s within which a change must be in force everywhere. Above a heartbeat (1 s) and an election
+# (up to 2 s): with 3 s, entries refused callers as stale after the leader was killed.
 FRESHNESS_LEASE_SECONDS = 4.0
 
 
@@ -56,14 +57,14 @@
         self._fresh_since: float | None = None
 
     def apply_policy(self, delta: PolicyDelta) -> bool:
-        """Take a delta that starts at the revision held, or a full set; never an older one."""
+        """Apply a delta based on the current revision, or a full set; ignore older ones."""
         if delta.revision <= self.settings_revision:
             return False
         if not delta.full and delta.base != self.settings_revision:
             return False
         if delta.models_only and not self.models_only:
-            # Sent to a sidecar in this process. Taken for whole, it would raise the revision here
-            # without the keys that were withdrawn with it.
+            # Meant for a sidecar in this process. Applied as a complete delta, it would raise the
+            # revision here without removing the keys that were withdrawn by then.
             return False
         if delta.full:
             self.organisation_by_id.clear()
@@ -74,33 +75,33 @@
         return True
 
     def apply_view(self, view: View) -> bool:
-        """Take a view of a later epoch; never an older one."""
+        """Apply a view of a later epoch; ignore older ones."""
         if view.epoch <= self.view.epoch:
             return False
         self.view = view
         return True
 
     def apply_view_delta(self, delta: ViewDelta) -> bool:
-        """Take what changed since the view held; nothing where it starts at another one."""
+        """Apply a view delta based on the current view; ignore one with another base."""
         view = apply_view_delta(self.view, delta)
         return view is not None and self.apply_view(view)
 
     @property
     def relay_version(self) -> int:
-        """Return the version of the relay document held; 0 before the first."""
+        """Return the version of the current relay document; 0 before the first."""
         return self.relay.version if self.relay is not None else 0
 
     def apply_relay(self, document: RelayDocument) -> bool:
-        """Take a relay document of a higher version; never an older one."""
+        """Apply a relay document of a higher version; ignore older ones."""
         if document.version <= self.relay_version:
             return False
         self.relay = document
         return True
 
     def confirm(self, fresh: Fresh, sent_at: float) -> None:
-        """Take the reply to a heartbeat that was sent at `sent_at`.
+        """Apply the reply to a heartbeat that was sent at `sent_at`.
 
-        The lease is extended only where this process now holds what the leader had: a reply
+        The lease is extended only if this process is now as current as the leader was: a reply
         whose delta was lost must not make the old settings look fresh.
         """
         if fresh.policy is not None:
@@ -118,7 +119,7 @@
             self._fresh_since = sent_at
 
     def is_fresh(self, now: float) -> bool:
-        """Return whether this process may act on what it holds. Ask right before every use."""
+        """Return whether this process may act on its replica. Check right before every use."""
         return self._fresh_since is not None and now - self._fresh_since < self.lease_seconds
 
     def _merge(self, delta: PolicyDelta) -> None:
--- a/libs/state/tarragonhall_state/_journal.py
+++ b/libs/state/tarragonhall_state/_journal.py
@@ -1,8 +1,8 @@
 """The program journal: one shard of programs, their calls and the quarantine of crashing requests.
 
-A program lives in the shard of its root, since sub-agents draw on the root's budget. Today there is
-one shard; before there are more, the ids of sub-agents must be drawn until `shard_of` puts them
-into the shard of their root.
+A program is stored in the shard of its root, since sub-agents use the root's budget. There is one
+shard; with more, ids of sub-agents must be generated until `shard_of` maps them to the shard of
+their root.
 """
 
 from __future__ import annotations
@@ -35,22 +35,22 @@
 from tarragonhall_state._calls import CallOutcome, Calls
 from tarragonhall_state._commands import CancelProgram
 from tarragonhall_state._program import CallState
-from tarragonhall_state._programs import NOT_FOUND, Programs, ProgramsSnapshot
-from tarragonhall_state._quarantine import HELD_MS, Quarantine
+from tarragonhall_state._programs import PROGRAM_NOT_FOUND, Programs, ProgramsSnapshot
+from tarragonhall_state._quarantine import TEMPORARY_HOLD_MS, Quarantine
 from tarragonhall_state._requests import CallReference
 
 JOURNAL_SHARDS = 1
-# Ten minutes: as long as an innocent request that was in a crowd is held.
-QUARANTINED = Refusal(
+# Ten minutes: how long a request that only shared its crashes with others is held.
+QUARANTINED_REFUSAL = Refusal(
     RefusalCode.QUARANTINED,
     "the request crashed the backend servers that ran it",
-    retry_after_ms=HELD_MS,
+    retry_after_ms=TEMPORARY_HOLD_MS,
 )
 
 
 @record
 class JournalSnapshot:
-    """The whole state of one shard."""
+    """The whole state of one shard as stored in a snapshot."""
 
     programs: ProgramsSnapshot
     quarantine: Quarantine
@@ -66,18 +66,18 @@
         self._calls = Calls(self._programs)
         self._quarantine = Quarantine()
 
-    def apply(self, body: object, living_entries: Container[str], now_ms: int) -> object:
-        """Carry out a command of the journal; return None for any other."""
-        result = self._carry_out(body, living_entries, now_ms)
-        self._programs.mark_changed(program_of(body))
+    def apply(self, body: object, live_entries: Container[str], now_ms: int) -> object:
+        """Apply a journal command; return None for any other command."""
+        result = self._execute(body, live_entries, now_ms)
+        self._programs.mark_changed(program_id_of(body))
         return result
 
-    def _carry_out(self, body: object, living_entries: Container[str], now_ms: int) -> object:
+    def _execute(self, body: object, live_entries: Container[str], now_ms: int) -> object:
         match body:
             case OpenProgram():
                 return self._programs.open(body, now_ms)
             case OpenCall():
-                return self._open_call(body, living_entries, now_ms)
+                return self._open_call(body, live_entries, now_ms)
             case StartAttempt():
                 return self._calls.start_attempt(body, now_ms)
             case DisproveAttempt():
@@ -85,7 +85,7 @@
             case CloseCall():
                 return self._close(body, now_ms)
             case AbandonCall():
-                return self._calls.abandon(body, living_entries, now_ms)
+                return self._calls.abandon(body, live_entries, now_ms)
             case EndProgram():
                 return self._programs.end(body, now_ms)
             case CancelProgram():
@@ -97,21 +97,21 @@
         return None
 
     def call(
-        self, program_id: str, seq: int, org_id: str, living_entries: Container[str]
+        self, program_id: str, seq: int, org_id: str, live_entries: Container[str]
     ) -> CallOutcome:
-        """Return what is known of a call."""
-        return self._calls.status(program_id, seq, org_id, living_entries)
+        """Return the state of a call."""
+        return self._calls.status(program_id, seq, org_id, live_entries)
 
     def execution(self, program_id: str, seq: int) -> Execution:
-        """Return `NOT_RUN` where it is certain, else `UNKNOWN`; nobody's key is needed for it."""
+        """Return `NOT_RUN` if that is certain, else `UNKNOWN`; no key of the owner is needed."""
         program = self._programs.by_id.get(program_id)
         if program is None:
-            # It may have been dropped some time after its end, and its calls may have run.
+            # It may have ended and been dropped, and its calls may have run.
             return Execution.UNKNOWN
         call = program.call(seq)
-        if call is None or (call.state is CallState.CLOSED and call.has_run_nowhere()):
+        if call is None or (call.state is CallState.CLOSED and call.is_proved_not_run()):
             return Execution.NOT_RUN
-        # A call that waits at another entry has not run, but may be started at any moment.
+        # A call queued at another entry has not run, but may be started at any moment.
         return Execution.UNKNOWN
 
     def attempts_under(self, program_id: str) -> list[AttemptId]:
@@ -126,18 +126,18 @@
             found.extend(call.attempts[-1].attempt_id for call in program.calls if call.attempts)
         return found
 
-    def recall(self, reference: CallReference) -> CallOutcome:
-        """Return what became of a call, to one whose request opened or closed it before."""
+    def repeat_result(self, reference: CallReference) -> CallOutcome:
+        """Return the state of a call for a resend of the request that opened or closed it."""
         program = self._programs.by_id.get(reference.program_id)
         if program is None:
-            return NOT_FOUND
-        return self._calls.recall(program, reference)
+            return PROGRAM_NOT_FOUND
+        return self._calls.repeat_result(program, reference)
 
     def program(self, program_id: str, org_id: str | None) -> ProgramReport | Refusal:
-        """Return a program and its closed calls; operators may leave the organisation out."""
+        """Return a program and its closed calls; operators may omit the organisation."""
         program = self._programs.by_id.get(program_id)
         if program is None or org_id not in (None, program.org_id):
-            return NOT_FOUND
+            return PROGRAM_NOT_FOUND
         calls = []
         for call in program.calls:
             if call.state is not CallState.CLOSED:
@@ -151,7 +151,7 @@
     def programs(
         self, org_id: str | None, status: ProgramStatus | None, limit: int
     ) -> list[ProgramInfo]:
-        """Return the programs opened last, newest first."""
+        """Return the most recently opened programs, newest first."""
         found: list[ProgramInfo] = []
         for program in reversed(self._programs.by_id.values()):
             if len(found) == limit:
@@ -161,8 +161,8 @@
             found.append(self._programs.info(program))
         return found
 
-    def living(self, program_ids: list[str]) -> list[str]:
-        """Return those of the programs that are open."""
+    def open_programs(self, program_ids: list[str]) -> list[str]:
+        """Return the ids of the given programs that are open."""
         by_id = self._programs.by_id
         return [one for one in program_ids if one in by_id and by_id[one].is_open]
 
@@ -171,11 +171,11 @@
         return self._quarantine.status(request_fingerprint, now_ms)
 
     def next_due_ms(self) -> int | None:
-        """Return when `ExpirePrograms` may next have something to do."""
+        """Return the log time at which `ExpirePrograms` may next have work, or None."""
         return self._programs.next_due_ms()
 
     def count(self) -> int:
-        """Return how many programs are kept."""
+        """Return the number of stored programs."""
         return len(self._programs.by_id)
 
     def snapshot(self) -> JournalSnapshot:
@@ -188,18 +188,18 @@
         self._quarantine = snapshot.quarantine
 
     def _open_call(
-        self, command: OpenCall, living_entries: Container[str], now_ms: int
+        self, command: OpenCall, live_entries: Container[str], now_ms: int
     ) -> CallOutcome:
         """Open a call, unless it is new and its request is quarantined."""
         if not self._quarantine.suspect_by_fingerprint:
-            return self._calls.open(command, living_entries, now_ms)
+            return self._calls.open(command, live_entries, now_ms)
         spec = command.spec
-        mark = fingerprint(command.org_id, spec.target, spec.body)
-        known = self._calls.status(command.program_id, spec.seq, command.org_id, living_entries)
+        request_fingerprint = fingerprint(command.org_id, spec.target, spec.body)
+        known = self._calls.status(command.program_id, spec.seq, command.org_id, live_entries)
         is_new = isinstance(known, Refusal)
-        if is_new and self._quarantine.status(mark, now_ms).quarantined:
-            return QUARANTINED
-        return self._calls.open(command, living_entries, now_ms)
+        if is_new and self._quarantine.status(request_fingerprint, now_ms).quarantined:
+            return QUARANTINED_REFUSAL
+        return self._calls.open(command, live_entries, now_ms)
 
     def _close(self, command: CloseCall, now_ms: int) -> object:
         result = self._calls.close(command, now_ms)
@@ -215,14 +215,14 @@
     def _cancel(self, command: CancelProgram, now_ms: int) -> ProgramInfo | Refusal:
         program = self._programs.by_id.get(command.program_id)
         if program is None:
-            return NOT_FOUND
+            return PROGRAM_NOT_FOUND
         return self._programs.end(
             EndProgram(command.program_id, program.org_id, command.status), now_ms
         )
 
 
-def program_of(body: object) -> str:
-    """Return the program that a command names, or nothing."""
+def program_id_of(body: object) -> str:
+    """Return the id of the program that a command names, or an empty string."""
     attempt = getattr(body, "attempt", None)
     if attempt is not None:
         return attempt.program_id
--- a/libs/state/tarragonhall_state/_machine.py
+++ b/libs/state/tarragonhall_state/_machine.py
@@ -1,4 +1,4 @@
-"""The state machine over the log: decodes a command, sends it to its part, remembers the result."""
+"""The control state machine: decodes a command, dispatches it and stores the result."""
 
 from __future__ import annotations
 
@@ -47,11 +47,11 @@
 )
 
 from tarragonhall_state._configuration import Configuration, ConfigurationSnapshot
-from tarragonhall_state._journal import JOURNAL_SHARDS, Journal, JournalSnapshot, program_of
+from tarragonhall_state._journal import JOURNAL_SHARDS, Journal, JournalSnapshot, program_id_of
 from tarragonhall_state._requests import (
-    JOURNAL_ENTRIES,
     JOURNAL_WINDOW_MS,
-    OPERATOR_ENTRIES,
+    MAX_JOURNAL_REQUESTS,
+    MAX_OPERATOR_REQUESTS,
     OPERATOR_WINDOW_MS,
     CallReference,
     Remembered,
@@ -65,7 +65,7 @@
 
 @record
 class StateSnapshot:
-    """The whole state at one index of the log."""
+    """The whole state at one log index."""
 
     format: int
     clock_ms: int
@@ -78,7 +78,7 @@
 
 
 class ControlState:
-    """All state of the control members. `apply` gives the same result on every one of them."""
+    """The replicated state of the control members. `apply` is deterministic on all of them."""
 
     __slots__ = (
         "_clock_ms",
@@ -95,9 +95,9 @@
         self.relay: RelayDocument | None = None
         self._views = Views()
         self._journals = [Journal() for _ in range(JOURNAL_SHARDS)]
-        self._operator_requests = RequestTable(OPERATOR_WINDOW_MS, OPERATOR_ENTRIES)
-        self._journal_requests = RequestTable(JOURNAL_WINDOW_MS, JOURNAL_ENTRIES)
-        # Leaders' clocks differ; time in the log must not run backwards when the leader changes.
+        self._operator_requests = RequestTable(OPERATOR_WINDOW_MS, MAX_OPERATOR_REQUESTS)
+        self._journal_requests = RequestTable(JOURNAL_WINDOW_MS, MAX_JOURNAL_REQUESTS)
+        # Leaders' clocks differ; log time must not go backwards when the leader changes.
         self._clock_ms = 0
 
     def apply(self, index: int, data: bytes) -> object:
@@ -115,20 +115,20 @@
             if earlier.digest != digest:
                 message = "this request id was used for something else"
                 return Refusal(RefusalCode.CONFLICT, message)
-            return self.recall(earlier)
-        return self._carry_out(command, digest)
+            return self.repeat_result(earlier)
+        return self._execute(command, digest)
 
     def remembered(self, request_id: str) -> Remembered | None:
-        """Return what is remembered of a request that was carried out."""
+        """Return the stored result of an applied request, or None."""
         found = self._operator_requests.find(request_id)
         return found if found is not None else self._journal_requests.find(request_id)
 
-    def recall(self, remembered: Remembered) -> object:
-        """Return the result of a request that was carried out before."""
+    def repeat_result(self, remembered: Remembered) -> object:
+        """Return the result of an earlier request for a resend of it."""
         result = remembered.result
         if not isinstance(result, CallReference):
             return result
-        return self._journal(result.program_id).recall(result)
+        return self._journal(result.program_id).repeat_result(result)
 
     @property
     def revision(self) -> int:
@@ -142,35 +142,35 @@
 
     @property
     def unsettled_owners(self) -> int:
-        """Return the version of the owners while earlier ones may still act, otherwise 0."""
+        """Return the owners version while earlier owners may still act, otherwise 0."""
         views = self._views
         return views.owners_version if views.settled_version < views.owners_version else 0
 
     @property
     def relay_version(self) -> int:
-        """Return the version of the relay document in force; 0 before the first."""
+        """Return the version of the current relay document; 0 before the first."""
         return self.relay.version if self.relay is not None else 0
 
     def retirement(self, store_id: str) -> StoreRetiring | Refusal:
-        """Return how far the retirement of a store member is."""
+        """Return the progress of the retirement of a store member."""
         return self._views.retirement(store_id)
 
     def policy_since(self, revision: int) -> PolicyDelta:
-        """Return what leads a follower from a revision to the one in force."""
+        """Return the delta that brings a follower from a revision to the current one."""
         return self.configuration.policy_since(revision)
 
     def view(self) -> View:
-        """Return the entries and backend servers of this epoch."""
+        """Return the view of the current epoch."""
         return self._views.view()
 
     def server(self, server_id: str) -> ServerRecord | None:
-        """Return the life of a backend server that is in the view."""
+        """Return the record of the backend server's current incarnation, or None."""
         return self._views.server_by_id.get(server_id)
 
     def announced(
         self, node: EntryRecord | ServerRecord | StoreRecord
     ) -> EntryRecord | ServerRecord | StoreRecord | None:
-        """Return what the view holds under the id of a node, without the operators' drain."""
+        """Return the announced record under the id of a node, without the operators' drain."""
         match node:
             case EntryRecord(entry_id=entry_id):
                 return self._views.entry_by_id.get(entry_id)
@@ -182,7 +182,7 @@
     def call(
         self, program_id: str, seq: int, org_id: str
     ) -> CallOpened | CallRunning | CallClosed | Refusal:
-        """Return what is known of a call."""
+        """Return the state of a call."""
         entries = self._views.entry_by_id
         return self._journal(program_id).call(program_id, seq, org_id, entries)
 
@@ -191,17 +191,17 @@
         return self._journal(program_id).attempts_under(program_id)
 
     def execution(self, program_id: str, seq: int) -> Execution:
-        """Return what is known of whether a call ran, without saying whose it is."""
+        """Return whether a call is known not to have run, without revealing its owner."""
         return self._journal(program_id).execution(program_id, seq)
 
     def program(self, program_id: str, org_id: str | None) -> ProgramReport | Refusal:
-        """Return a program and its closed calls; operators may leave the organisation out."""
+        """Return a program and its closed calls; operators may omit the organisation."""
         return self._journal(program_id).program(program_id, org_id)
 
     def programs(
         self, org_id: str | None = None, status: ProgramStatus | None = None, limit: int = 200
     ) -> list[ProgramInfo]:
-        """Return the programs opened last, newest first."""
+        """Return the most recently opened programs, newest first."""
         found: list[ProgramInfo] = []
         for journal in self._journals:
             found.extend(journal.programs(org_id, status, limit))
@@ -209,24 +209,24 @@
         return found[:limit]
 
     def program_count(self) -> int:
-        """Return how many programs are kept, ended ones included."""
+        """Return the number of stored programs, ended ones included."""
         return sum(journal.count() for journal in self._journals)
 
     def living(self, program_ids: list[str]) -> Living:
-        """Return those of the programs that are open."""
-        return Living([one for one in program_ids if self._journal(one).living([one])])
+        """Return the ids of the given programs that are open."""
+        return Living([one for one in program_ids if self._journal(one).open_programs([one])])
 
     def quarantine(self, fingerprint: str, now_ms: int) -> Quarantined:
         """Return whether a request is quarantined."""
         return self._journal("").quarantine(fingerprint, now_ms)
 
     def next_due_ms(self) -> int | None:
-        """Return when `ExpirePrograms` may next have something to do."""
+        """Return the log time at which `ExpirePrograms` may next have work, or None."""
         due = [journal.next_due_ms() for journal in self._journals]
         return min((one for one in due if one is not None), default=None)
 
     def snapshot(self) -> bytes:
-        """Return the whole state."""
+        """Return the whole state, encoded."""
         return encode(
             StateSnapshot(
                 format=SNAPSHOT_FORMAT,
@@ -254,15 +254,15 @@
         for journal, saved in zip(self._journals, snapshot.journals, strict=True):
             journal.restore(saved)
 
-    def _carry_out(self, command: Command, digest: bytes) -> object:
+    def _execute(self, command: Command, digest: bytes) -> object:
         now_ms = self._clock_ms
         result = self.configuration.apply(command.body, command.request_id, now_ms)
         if result is not None:
             self._operator_requests.add(command.request_id, digest, now_ms, result)
             return result
         if isinstance(command.body, PublishRelay):
-            # Not remembered by request: repeating it is harmless, and hundreds of documents a day
-            # would be held once more each.
+            # Not stored by request id: applying it again is harmless, and each of hundreds of
+            # documents a day would be held a second time.
             return self._publish_relay(command.body.document)
         result = self._change_view(command.body, now_ms)
         if result is None:
@@ -270,8 +270,8 @@
         if result is None:
             kind = type(command.body).__name__
             result = Refusal(RefusalCode.BAD_INPUT, f"unknown command {kind}")
-        kept = _compact(command.body, result)
-        self._journal_requests.add(command.request_id, digest, now_ms, kept)
+        stored = _result_to_store(command.body, result)
+        self._journal_requests.add(command.request_id, digest, now_ms, stored)
         return result
 
     def _publish_relay(self, document: RelayDocument) -> RelayPublished:
@@ -296,7 +296,7 @@
             case RemoveStore(store_id=store_id, incarnation=incarnation):
                 return self._views.remove_store(store_id, incarnation, now_ms)
             case FoundStores(store_ids=store_ids):
-                return self._views.found_stores(store_ids, now_ms)
+                return self._views.bootstrap_stores(store_ids, now_ms)
             case RetireStore(store_id=store_id, keep=keep):
                 return self._views.retire_store(store_id, keep, now_ms)
             case ConfirmRetired(store_id=store_id):
@@ -308,23 +308,23 @@
         return None
 
     def _change_journal(self, body: object, now_ms: int) -> object:
-        journal = self._journal(program_of(body))
+        journal = self._journal(program_id_of(body))
         return journal.apply(body, self._views.entry_by_id, now_ms)
 
     def _journal(self, program_id: str) -> Journal:
         return self._journals[shard_of(program_id, JOURNAL_SHARDS)]
 
 
-def _compact(body: object, result: object) -> object:
-    """Return what to remember: histories and answers stay in the journal, which tells them again.
+def _result_to_store(body: object, result: object) -> object:
+    """Return the result to store; a reference where the journal already holds the content.
 
-    A second copy of each answer for five minutes would double the memory of a busy member.
+    A second copy of each history and answer for five minutes would double a busy member's memory.
     """
     match result:
         case CallOpened(attempts=attempts, started=started):
-            return CallReference(program_of(body), _seq_of(body), attempts, started)
+            return CallReference(program_id_of(body), _seq_of(body), attempts, started)
         case CallClosed():
-            return CallReference(program_of(body), _seq_of(body))
+            return CallReference(program_id_of(body), _seq_of(body))
     return result
 
 
--- a/libs/state/tarragonhall_state/_names.py
+++ b/libs/state/tarragonhall_state/_names.py
@@ -1,4 +1,4 @@
-"""The names that the settings tree knows, and the checks of paths, names and values."""
+"""The names known to the settings tree, and the validation of paths, names and values."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 )
 
 ROOT_PATH = "/"
-# Deep enough for region/association/team/sub-team; each level costs one look-up per resolution.
+# Enough for region/association/team/sub-team; each level costs one look-up per resolved name.
 MAX_DEPTH = 8
 PATH_PATTERN = re.compile(r"/([a-z0-9][a-z0-9._-]{0,63}(/[a-z0-9][a-z0-9._-]{0,63})*)?")
 MODEL_NAME_PATTERN = re.compile(r"model\.(?P<model>.{1,64})\.(?P<field>[a-z_]+)")
 
 OPTION_BY_NAME: dict[str, Any] = {
     "rate.per_second": Number(10.0, minimum=0.001, maximum=1e6),
-    # A burst below one call would never let a call through.
+    # With a burst below 1, no call would ever be admitted.
     "rate.burst": Number(20.0, minimum=1.0, maximum=1e6),
     "weight": Number(1.0, minimum=0.01, maximum=1_000.0),
     "budget.tokens": Whole(100_000, minimum=1),
@@ -34,7 +34,8 @@
     "enabled": Flag(True),
 }
 
-# Names of the form `model.NAME.version`; models are the same for all teams, so only at the root.
+# Names such as `model.NAME.version`. Models are shared by all teams, so they are set only at the
+# root.
 OPTION_BY_MODEL_FIELD: dict[str, Any] = {
     "version": Text(),
     "min_replicas": Whole(1, minimum=0, maximum=100_000),
@@ -57,7 +58,7 @@
 
 
 def check_path(path: object, place: str) -> list[Finding]:
-    """Return what is wrong with a path."""
+    """Return the findings for a path."""
     if not isinstance(path, str) or PATH_PATTERN.fullmatch(path) is None:
         text = "expected a path such as /team/routing, of lower-case letters, digits, . _ and -"
         return [Finding(place, f"{text}; got {path!r}")]
@@ -67,7 +68,7 @@
 
 
 def check_name(path: str, name: str, place: str) -> list[Finding]:
-    """Return what is wrong with a name at a path."""
+    """Return the findings for a name at a path."""
     if name in OPTION_BY_NAME:
         return []
     match = MODEL_NAME_PATTERN.fullmatch(name)
@@ -82,7 +83,7 @@
 
 
 def check_value(path: str, name: str, value: object, place: str) -> list[Finding]:
-    """Return what is wrong with a value for a name at a path."""
+    """Return the findings for a value of a name at a path."""
     findings = check_name(path, name, place)
     if findings:
         return findings
@@ -90,7 +91,7 @@
 
 
 def check_values(path: str, values: object, place: str) -> list[Finding]:
-    """Return what is wrong with a whole object of names and values."""
+    """Return the findings for an object of names and values."""
     if not isinstance(values, dict):
         return [Finding(place, f"expected an object, got {values!r}")]
     findings = []
@@ -100,7 +101,7 @@
 
 
 def default_of(name: str) -> object:
-    """Return what holds where no level sets a known name; None where there is no default."""
+    """Return the default of a known name, or None if it has none."""
     default = option_of(name).default
     return None if default is REQUIRED else default
 
--- a/libs/state/tarragonhall_state/_operators.py
+++ b/libs/state/tarragonhall_state/_operators.py
@@ -1,4 +1,4 @@
-"""Operators: whose token reaches which subtree in which role."""
+"""Operators: which token grants which role on which subtree."""
 
 from __future__ import annotations
 
@@ -45,13 +45,14 @@
     by_name: dict[str, Operator] = field(default_factory=dict)
 
     def add(self, operator: Operator) -> None:
-        """Take in an operator."""
+        """Add an operator."""
         self.by_name[operator.name] = operator
 
     def with_token(self, token_hash: str) -> Operator | None:
-        """Return the operator who holds the token.
+        """Return the operator with this token hash, or None.
 
-        Hashes of 256 random bits are compared: timing tells nothing that helps to guess a token.
+        Tokens are 256 random bits and their hashes are compared, so the timing of the comparison
+        does not help to guess a token.
         """
         for operator in self.by_name.values():
             if operator.token_hash == token_hash:
--- a/libs/state/tarragonhall_state/_policy.py
+++ b/libs/state/tarragonhall_state/_policy.py
@@ -1,4 +1,4 @@
-"""The resolved policy that entries act on, and the deltas by which they follow it."""
+"""The resolved policy that entries apply, and the deltas that keep them up to date."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
 )
 from tarragonhall_state._tree import SettingsTree
 
-# A process that missed more changes than this, or more ids than that, takes the full set. A delta
-# of 50,000 ids is larger than the full set of 15,000 organisations.
-DELTA_REVISIONS = 2_000
-DELTA_IDS = 50_000
+# A follower that missed more revisions or ids than this gets the full set: a delta of 50,000 ids is
+# larger than the full set of 15,000 organisations.
+MAX_DELTA_REVISIONS = 2_000
+MAX_DELTA_IDS = 50_000
 
 
 @record
 class Touched:
-    """What one revision may have changed, by id; the values are looked up when a delta is made."""
+    """Ids that one revision may have changed; values are looked up when a delta is built."""
 
     revision: int
     organisations: tuple[str, ...] = ()
@@ -38,32 +38,32 @@
     models: tuple[str, ...] = ()
 
     def size(self) -> int:
-        """Return how many ids are held."""
+        """Return the number of ids."""
         return len(self.organisations) + len(self.keys) + len(self.models)
 
 
 @mutable_record
 class TouchLog:
-    """What the latest revisions touched. Covers every revision after `base`."""
+    """The ids that recent revisions touched. Covers every revision after `base`."""
 
     base: int = 0
     ids: int = 0
     entries: list[Touched] = field(default_factory=list)
 
     def add(self, touched: Touched) -> None:
-        """Note the next revision and forget the oldest beyond the bounds."""
+        """Append the next revision and drop the oldest ones beyond the limits."""
         self.entries.append(touched)
         self.ids += touched.size()
-        while len(self.entries) > DELTA_REVISIONS or self.ids > DELTA_IDS:
+        while len(self.entries) > MAX_DELTA_REVISIONS or self.ids > MAX_DELTA_IDS:
             oldest = self.entries.pop(0)
             self.base = oldest.revision
             self.ids -= oldest.size()
 
     def since(self, revision: int) -> Touched | None:
-        """Return everything touched after a revision, or None where that is not known any more."""
+        """Return all ids touched after a revision, or None if the log no longer covers it."""
         if revision < self.base:
             return None
-        # Maps as ordered sets: every member lists the ids in the same order.
+        # Dicts as ordered sets: every member must list the ids in the same order.
         organisations: dict[str, None] = {}
         keys: dict[str, None] = {}
         models: dict[str, None] = {}
@@ -79,7 +79,7 @@
 
 
 def resolve_organisation(tree: SettingsTree, org_id: str, path: str) -> OrganisationPolicy:
-    """Return all that is in force for an organisation."""
+    """Return the policy in force for an organisation."""
     value_by_name = {origin.name: origin.value for origin in tree.explain(path)}
     return OrganisationPolicy(
         org_id=org_id,
@@ -97,7 +97,7 @@
 
 
 def resolve_model(tree: SettingsTree, name: str) -> ModelPolicy | None:
-    """Return the version in force for a model, or None where none is set."""
+    """Return the policy of a model, or None if no version of it is set."""
     values = tree.values_at(ROOT_PATH)
     field_values = {
         field: values.get(f"model.{name}.{field}", option.default)
@@ -109,7 +109,7 @@
 
 
 def model_names(names: list[str]) -> list[str]:
-    """Return the models that some setting names speak of, each once."""
+    """Return the distinct models that appear in the given setting names."""
     found: dict[str, None] = {}
     for name in names:
         match = MODEL_NAME_PATTERN.fullmatch(name)
@@ -119,7 +119,7 @@
 
 
 def organisations_under(path_by_org_id: dict[str, str], paths: set[str]) -> list[str]:
-    """Return the organisations whose policy a change at some paths may have changed."""
+    """Return the organisations whose policy changes at the given paths may affect."""
     return [
         org_id
         for org_id, path in path_by_org_id.items()
@@ -128,5 +128,5 @@
 
 
 def empty_delta(revision: int) -> PolicyDelta:
-    """Return the delta for one who has everything."""
+    """Return the delta for a follower that is up to date."""
     return PolicyDelta(revision, revision)
--- a/libs/state/tarragonhall_state/_program.py
+++ b/libs/state/tarragonhall_state/_program.py
@@ -1,4 +1,4 @@
-"""What the journal keeps of a program: its calls, their attempts, and the budget of its root."""
+"""Journal records of a program: its calls, their attempts, and the budget of its root."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class AttemptState(enum.Enum):
-    """What is known of an attempt. `STARTED` ones may have run, be running or run yet."""
+    """The state of an attempt. A `STARTED` one may have run, be running or still run."""
 
     STARTED = "started"
     DISPROVED = "disproved"
@@ -30,7 +30,7 @@
 
 
 class CallState(enum.Enum):
-    """The life of a call. An abandoned one may be opened anew under the same number."""
+    """The state of a call. An abandoned one may be opened again under the same number."""
 
     OPEN = "open"
     ABANDONED = "abandoned"
@@ -39,7 +39,7 @@
 
 @mutable_record
 class Attempt:
-    """One recorded attempt. While `holds_reservation`, its tokens and its call stay reserved."""
+    """One recorded attempt. While `holds_reservation`, its tokens and one call stay reserved."""
 
     attempt_id: AttemptId
     state: AttemptState = AttemptState.STARTED
@@ -48,7 +48,7 @@
 
 @mutable_record
 class Call:
-    """One call. `holds_reservation` says that a reservation waits for its next attempt."""
+    """One call. `holds_reservation` means that a reservation is held for its next attempt."""
 
     spec: CallSpec
     entry_id: str
@@ -61,7 +61,7 @@
 
     @property
     def deadline_at_ms(self) -> int:
-        """Return when the caller stops waiting."""
+        """Return the log time at which the caller stops waiting."""
         return self.opened_at_ms + self.spec.timeout_ms
 
     def live_attempt(self) -> Attempt | None:
@@ -72,17 +72,17 @@
         return None
 
     def may_have_run(self) -> bool:
-        """Return whether any attempt was not disproved."""
+        """Return whether any attempt is not disproved."""
         return any(attempt.state is not AttemptState.DISPROVED for attempt in self.attempts)
 
-    def has_run_nowhere(self) -> bool:
-        """Return whether the call ended without an attempt that could have run."""
+    def is_proved_not_run(self) -> bool:
+        """Return whether the call ended without any attempt that could have run."""
         return self.refusal is not None and self.refusal.execution is Execution.NOT_RUN
 
 
 @mutable_record
 class Purse:
-    """The budget of a root program and what all programs under it have used of it."""
+    """The budget of a root program, and its use by that program and its sub-agents."""
 
     budget: Budget
     tokens: int = 0
@@ -91,38 +91,38 @@
     reserved_calls: int = 0
 
     def fits(self, tokens: int) -> bool:
-        """Return whether one more call with so many tokens fits beside all reservations."""
+        """Return whether one more call of `tokens` fits next to all reservations."""
         tokens_fit = self.tokens + self.reserved_tokens + tokens <= self.budget.tokens
         return tokens_fit and self.calls + self.reserved_calls < self.budget.calls
 
     def may_fit_later(self, tokens: int) -> bool:
-        """Return whether it would fit if every reservation were given back."""
+        """Return whether the call would fit if every reservation were released unused."""
         return self.tokens + tokens <= self.budget.tokens and self.calls < self.budget.calls
 
     def reserve(self, tokens: int) -> None:
-        """Set aside one call and its tokens."""
+        """Reserve one call and its tokens."""
         self.reserved_tokens += tokens
         self.reserved_calls += 1
 
     def release(self, tokens: int) -> None:
-        """Give a reservation back unused."""
+        """Release a reservation unused."""
         self.reserved_tokens -= tokens
         self.reserved_calls -= 1
 
     def settle(self, reserved: int, used: int) -> None:
-        """Turn a reservation into what was used of it."""
+        """Replace a reservation by the actual usage."""
         self.release(reserved)
         self.tokens += used
         self.calls += 1
 
     def spent(self) -> Spent:
-        """Return the figures as callers see them."""
+        """Return the usage as callers see it."""
         return Spent(self.tokens, self.calls, self.reserved_tokens, self.reserved_calls)
 
 
 @mutable_record
 class Program:
-    """One program. `purse` is set on roots only; children draw on their root's."""
+    """One program. `purse` is the budget; set on roots only, since sub-agents use their root's."""
 
     program_id: str
     root_id: str
@@ -146,14 +146,14 @@
         return self.status is ProgramStatus.OPEN
 
     def call(self, seq: int) -> Call | None:
-        """Return the call of that number, unless it was abandoned or never opened."""
+        """Return the call with this number, or None if it was abandoned or never opened."""
         found = self.slot(seq)
         if found is None or found.state is CallState.ABANDONED:
             return None
         return found
 
     def slot(self, seq: int) -> Call | None:
-        """Return what is kept under a number, also of an abandoned call."""
+        """Return the stored call with this number, even if abandoned, or None."""
         if not 1 <= seq <= len(self.calls):
             return None
         return self.calls[seq - 1]
@@ -183,15 +183,15 @@
                     return attempt.attempt_id.server_id
         return None
 
-    def info(self, purse: Purse) -> ProgramInfo:
-        """Return the program as its owner may see it."""
+    def info(self, root_budget: Purse) -> ProgramInfo:
+        """Return the program as its owner sees it."""
         return ProgramInfo(
             program_id=self.program_id,
             root_id=self.root_id,
             org_id=self.org_id,
             status=self.status,
-            budget=purse.budget,
-            spent=purse.spent(),
+            budget=root_budget.budget,
+            spent=root_budget.spent(),
             next_seq=self.next_seq(),
             opened_at_ms=self.opened_at_ms,
             labels=self.labels,
--- a/libs/state/tarragonhall_state/_programs.py
+++ b/libs/state/tarragonhall_state/_programs.py
@@ -1,4 +1,4 @@
-"""The programs of one journal shard: opened, found, ended, expired and at last dropped."""
+"""Programs of one journal shard: opened, looked up, ended, expired and dropped after retention."""
 
 from __future__ import annotations
 
@@ -20,32 +20,32 @@
 
 from tarragonhall_state._program import CallState, Program, Purse
 
-# After its end a program answers resends and takes late answers for a quarter of an hour, which is
-# longer than any call may be waited for by default; then its history is dropped.
-KEEP_ENDED_MS = 900 * 1_000
-# The plan is 110,000 programs under way; beyond this the member would run out of memory and fail
+# An ended program still handles resends and late answers for 15 minutes, longer than the default
+# timeout of any call; then its history is dropped.
+ENDED_PROGRAM_RETENTION_MS = 900 * 1_000
+# 110,000 open programs are planned. Beyond this limit a member would run out of memory and fail
 # every program instead of refusing one.
 MAX_PROGRAMS = 200_000
-# A tree of sub-agents is walked at each end and each touch.
+# The tree of sub-agents is traversed whenever a program ends or is active.
 MAX_CHILDREN = 1_000
 
-# A snapshot stops the loop. Were all programs encoded in it, a few thousand would take longer than
-# the leader's lease, and every snapshot would cost an election. So all but this many are kept
-# encoded as they change: the rest take about 0.1 s.
+# Taking a snapshot blocks the event loop. Encoding a few thousand programs there would take longer
+# than the leader's lease, so that every snapshot would cause an election. So all but this many are
+# encoded as they change; encoding the rest takes about 0.1 s.
 MAX_UNENCODED = 500
 
-NOT_FOUND = Refusal(RefusalCode.NOT_FOUND, "no such program")
+PROGRAM_NOT_FOUND = Refusal(RefusalCode.NOT_FOUND, "no such program")
 
 
 @record
 class ProgramsSnapshot:
-    """All programs of a shard, each encoded by itself."""
+    """All programs of a shard, each encoded separately."""
 
     programs: list[bytes]
 
 
 class Programs:
-    """Programs by id, with the time at which each next needs attention."""
+    """Programs by id, with the time at which each next expires or is dropped."""
 
     __slots__ = (
         "_due_heap",
@@ -61,13 +61,13 @@
         self.id_by_idempotency_key: dict[tuple[str, str], str] = {}
         self._due_heap: list[tuple[int, str]] = []
         self._due_ms_by_id: dict[str, int] = {}
-        # What a snapshot can take as it is: programs that have not changed since they were encoded.
+        # Encoded programs that have not changed since; a snapshot copies them.
         self._encoded_by_id: dict[str, bytes] = {}
-        # The others, those that changed longest ago first; a map as an ordered set.
+        # All other programs, least recently changed first; a dict as an ordered set.
         self._unencoded: dict[str, None] = {}
 
     def open(self, command: OpenProgram, now_ms: int) -> ProgramInfo | Refusal:
-        """Open a program, or return the one that the same request opened before."""
+        """Open a program, or return the one that an earlier send of the request opened."""
         earlier = self._opened_earlier(command)
         if earlier is not None:
             return earlier
@@ -82,41 +82,41 @@
         program = _new_program(command, parent, now_ms)
         if parent is not None:
             parent.children.append(program.program_id)
-            self.touch(parent, now_ms)
+            self.note_activity(parent, now_ms)
         self._add(program)
         return self.info(program)
 
     def find(self, program_id: str, org_id: str) -> Program | Refusal:
-        """Return a program of that organisation.
+        """Return a program of the organisation.
 
-        One of another organisation is refused in the very words of one that does not exist, so that
-        nobody can probe for the programs of others.
+        The refusal for another organisation's program is the same as for a missing one, so that
+        nobody can probe for programs of others.
         """
         program = self.by_id.get(program_id)
         if program is None or program.org_id != org_id:
-            return NOT_FOUND
+            return PROGRAM_NOT_FOUND
         return program
 
     def info(self, program: Program) -> ProgramInfo:
-        """Return a program as its owner may see it."""
-        return program.info(self.purse(program))
+        """Return a program as its owner sees it."""
+        return program.info(self.root_budget(program))
 
-    def purse(self, program: Program) -> Purse:
-        """Return the budget that a program draws on."""
+    def root_budget(self, program: Program) -> Purse:
+        """Return the budget of a program's root, shared by all programs under it."""
         return self.by_id[program.root_id].purse
 
     def end(self, command: EndProgram, now_ms: int) -> ProgramInfo | Refusal:
-        """End a program and every sub-agent under it; an ended one keeps its first end."""
+        """End a program and all its sub-agents; an ended one keeps its status and end time."""
         program = self.find(command.program_id, command.org_id)
         if isinstance(program, Refusal):
             return program
         if command.status is ProgramStatus.OPEN:
-            return Refusal(RefusalCode.BAD_INPUT, "open is not an end")
+            return Refusal(RefusalCode.BAD_INPUT, "a program cannot end with the status open")
         self._end_tree(program, command.status, now_ms)
         return self.info(program)
 
     def expire(self, now_ms: int) -> ProgramsExpired:
-        """End what was idle or open for too long, and drop what ended long ago."""
+        """End programs that were idle or open for too long; drop those past their retention."""
         expired = []
         while self._due_heap and self._due_heap[0][0] <= now_ms:
             due_ms, program_id = heapq.heappop(self._due_heap)
@@ -124,25 +124,26 @@
             if program is None or self._due_ms_by_id.get(program_id) != due_ms:
                 continue
             del self._due_ms_by_id[program_id]
-            real_due_ms = self._due_ms(program)
-            if real_due_ms > now_ms:
+            current_due_ms = self._due_ms(program)
+            if current_due_ms > now_ms:
                 self._schedule(program)
                 continue
             if not program.is_open:
                 self._drop(program)
                 continue
             expired.extend(self._end_tree(program, ProgramStatus.EXPIRED, now_ms))
-        # Sorted, because the order in the heap differs on a member that restored a snapshot.
+        # Sorted because the heap order differs on a member that restored a snapshot.
         return ProgramsExpired(sorted(expired))
 
     def next_due_ms(self) -> int | None:
-        """Return when `expire` may next find something to do."""
+        """Return the log time at which `expire` may next have work, or None."""
         return self._due_heap[0][0] if self._due_heap else None
 
-    def touch(self, program: Program, now_ms: int, busy_until_ms: int = 0) -> None:
-        """Note activity of a program, and of all programs that wait for it as their sub-agent.
+    def note_activity(self, program: Program, now_ms: int, busy_until_ms: int = 0) -> None:
+        """Record activity of a program and of all its ancestors, which wait for it.
 
-        Those are not idle until the sub-agent's call may end, `busy_until_ms`.
+        The ancestors do not count as idle before `busy_until_ms`, the deadline of the sub-agent's
+        call.
         """
         program.active_until_ms = max(program.active_until_ms, now_ms)
         self._schedule(program)
@@ -154,13 +155,13 @@
             parent_id = parent.parent
 
     def mark_changed(self, program_id: str) -> None:
-        """Note that a program, and with it the budget and activity above it, may have changed."""
+        """Mark a program and its ancestors, whose budget and activity depend on it, as changed."""
         current: str | None = program_id
         while current is not None:
             program = self.by_id.get(current)
             if program is None:
                 break
-            self._forget_encoding(current)
+            self._invalidate_encoding(current)
             current = program.parent
         while len(self._unencoded) > MAX_UNENCODED:
             self._encoded(self.by_id[next(iter(self._unencoded))])
@@ -185,9 +186,9 @@
             self._unencoded.pop(program.program_id, None)
         return data
 
-    def _forget_encoding(self, program_id: str) -> None:
+    def _invalidate_encoding(self, program_id: str) -> None:
         self._encoded_by_id.pop(program_id, None)
-        # Put last: what changes often is not encoded again and again.
+        # Moved to the end, so that programs that change often are not encoded over and over.
         self._unencoded.pop(program_id, None)
         self._unencoded[program_id] = None
 
@@ -206,11 +207,11 @@
         program = self.by_id.get(earlier_id)
         if program is None:
             return None
-        if not self._is_same(program, command):
+        if not self._is_same_request(program, command):
             return Refusal(RefusalCode.CONFLICT, "this key or id opened a different program")
         return self.info(program)
 
-    def _is_same(self, program: Program, command: OpenProgram) -> bool:
+    def _is_same_request(self, program: Program, command: OpenProgram) -> bool:
         budget_matters = command.parent is None
         return (
             program.org_id == command.org_id
@@ -218,7 +219,7 @@
             and program.idle_seconds == command.idle_seconds
             and program.labels == command.labels
             and program.idempotency_key == command.idempotency_key
-            and (not budget_matters or self.purse(program).budget == command.budget)
+            and (not budget_matters or self.root_budget(program).budget == command.budget)
         )
 
     def _refuse_open(
@@ -233,11 +234,11 @@
         if len(parent.children) >= MAX_CHILDREN:
             return Refusal(RefusalCode.BUDGET_EXHAUSTED, f"more than {MAX_CHILDREN} sub-agents")
         if self.is_out_of_time(parent, now_ms):
-            return Refusal(RefusalCode.BUDGET_EXHAUSTED, "the budget of time is used up")
+            return Refusal(RefusalCode.BUDGET_EXHAUSTED, "the time budget is exhausted")
         return None
 
     def is_out_of_time(self, program: Program, now_ms: int) -> bool:
-        """Return whether the root has been open for longer than its budget of seconds."""
+        """Return whether the root has been open for longer than its time budget."""
         return now_ms >= self._time_budget_ends_ms(program)
 
     def _time_budget_ends_ms(self, program: Program) -> int:
@@ -254,7 +255,7 @@
             pending.extend(current.children)
             if not current.is_open:
                 continue
-            self._forget_encoding(current.program_id)
+            self._invalidate_encoding(current.program_id)
             current.status = status
             current.ended_at_ms = now_ms
             self.close_unstarted_call(current)
@@ -269,18 +270,18 @@
                 continue
             if call.holds_reservation:
                 call.holds_reservation = False
-                self._forget_encoding(program.root_id)
-                self.purse(program).release(call.spec.max_tokens)
+                self._invalidate_encoding(program.root_id)
+                self.root_budget(program).release(call.spec.max_tokens)
             execution = Execution.UNKNOWN if call.may_have_run() else Execution.NOT_RUN
             call.state = CallState.CLOSED
             call.refusal = Refusal(RefusalCode.PROGRAM_ENDED, "the program has ended", execution)
 
     def _drop(self, program: Program) -> None:
-        """Forget a program and its sub-agents, all of which ended with it or before."""
+        """Drop a program and its sub-agents, all of which ended with it or before."""
         parent = self.by_id.get(program.parent) if program.parent else None
         if parent is not None:
             parent.children.remove(program.program_id)
-            self._forget_encoding(parent.program_id)
+            self._invalidate_encoding(parent.program_id)
         pending = [program.program_id]
         while pending:
             dropped = self.by_id.pop(pending.pop())
@@ -294,19 +295,19 @@
 
     def _due_ms(self, program: Program) -> int:
         if not program.is_open:
-            return program.ended_at_ms + KEEP_ENDED_MS
+            return program.ended_at_ms + ENDED_PROGRAM_RETENTION_MS
         idle_ms = program.active_until_ms + program.idle_seconds * 1_000
-        # A tool that hangs is no idle program: it has until the deadline of its call.
+        # A program with an open call is not idle before the deadline of that call.
         last = program.calls[-1] if program.calls else None
         if last is not None and last.state is CallState.OPEN:
             idle_ms = max(idle_ms, last.deadline_at_ms)
         return min(idle_ms, self._time_budget_ends_ms(program))
 
     def _schedule(self, program: Program) -> None:
-        """Queue the program for its due time, unless it is queued for an earlier one already.
+        """Queue the program for its due time, unless it is queued for an earlier one.
 
-        A due time that moves away is found when the queued one comes: a busy program costs one
-        entry in the heap, not one for each of its calls.
+        A postponed due time is noticed when the queued one is reached, so a busy program takes one
+        heap entry instead of one per call.
         """
         due_ms = self._due_ms(program)
         queued_ms = self._due_ms_by_id.get(program.program_id)
--- a/libs/state/tarragonhall_state/_quarantine.py
+++ b/libs/state/tarragonhall_state/_quarantine.py
@@ -1,13 +1,13 @@
-"""Requests that crash the backend servers they run on.
+"""Quarantine of requests that crash the backend servers they run on.
 
-Now and then one request crashes every server that runs it, and its caller sends it again, under a
-new program. Left alone it takes down the fleet, one server after the other. Requests are known by a
-fingerprint over organisation, target and body, and charged with each crash they were present at.
+A request may crash every server that runs it while its caller resends it under a new program; it
+would take down the fleet, one server after the other. Requests are identified by a fingerprint over
+organisation, target and body, and charged with each crash during which they were running.
 
-Innocent ones that ran beside it are present too. One crash makes nobody guilty: all of its requests
-are suspects, which entries run apart. A request that crashes a server alone for the second time is
-proven. In a crowd, the only one that was present at an earlier crash is held, but not for good.
-Whoever completes is cleared.
+Other requests that ran on the same server are charged too, so one crash proves nothing: all of its
+requests become suspects, which entries run separately. A request that was running alone at a crash,
+and is charged with at least two, is proven. If several were running, the only one charged with an
+earlier crash is held for a limited time. A suspect that completes is cleared.
 """
 
 from __future__ import annotations
@@ -17,18 +17,18 @@
 from tarragonhall_model import AttemptId, Quarantined, Recorded, ReportCrash, mutable_record
 
 CRASHES_TO_QUARANTINE = 2
-# After so many crashes in a crowd, even several who were always together are held.
-CROWD_CRASHES_TO_QUARANTINE = 3
-# A day: by then the engine was repaired or the caller has changed the request.
-PROVEN_MS = 24 * 3_600 * 1_000
-# An innocent request in a crowd is held up for ten minutes at most; a guilty one costs a server in
-# ten minutes at most.
-HELD_MS = 10 * 60 * 1_000
-# A suspect that never came again is forgotten after an hour.
-SUSPECT_MS = 3_600 * 1_000
+# After this many crashes, even several requests that were always running together are held.
+SHARED_CRASHES_TO_QUARANTINE = 3
+# A day: enough time to fix the engine or for the caller to change the request.
+PROVEN_HOLD_MS = 24 * 3_600 * 1_000
+# Limits the harm of a wrong decision: an unrelated request is held for at most ten minutes, and a
+# crashing one takes down at most one server per ten minutes.
+TEMPORARY_HOLD_MS = 10 * 60 * 1_000
+# A suspect that is not seen again is dropped after an hour.
+SUSPECT_RETENTION_MS = 3_600 * 1_000
 MAX_SUSPECTS = 10_000
-# Enough to know a report that is sent again; a crash charges an attempt once.
-REMEMBERED_ATTEMPTS = 8
+# Enough to detect a resent report; a crash is charged once per attempt.
+MAX_CHARGED_ATTEMPTS = 8
 
 
 @mutable_record
@@ -44,12 +44,12 @@
 
 @mutable_record
 class Quarantine:
-    """Suspects by fingerprint, the ones that crashed longest ago first."""
+    """Suspects by fingerprint, least recently crashed first."""
 
     suspect_by_fingerprint: dict[str, Suspect] = field(default_factory=dict)
 
     def report(self, command: ReportCrash, now_ms: int) -> Recorded:
-        """Charge the requests that were running with one crash."""
+        """Charge one crash to the requests that were running."""
         present = self._charge(command.fingerprints, command.attempts, now_ms)
         repeated = [
             fp for fp, suspect in present.items() if suspect.crashes >= CRASHES_TO_QUARANTINE
@@ -58,22 +58,22 @@
             suspect = present[fingerprint]
             if len(present) == 1:
                 suspect.proven = True
-                suspect.held_until_ms = now_ms + PROVEN_MS
+                suspect.held_until_ms = now_ms + PROVEN_HOLD_MS
                 continue
-            if len(repeated) == 1 or suspect.crashes >= CROWD_CRASHES_TO_QUARANTINE:
-                suspect.held_until_ms = max(suspect.held_until_ms, now_ms + HELD_MS)
-        self._forget(now_ms)
+            if len(repeated) == 1 or suspect.crashes >= SHARED_CRASHES_TO_QUARANTINE:
+                suspect.held_until_ms = max(suspect.held_until_ms, now_ms + TEMPORARY_HOLD_MS)
+        self._drop_expired(now_ms)
         return Recorded()
 
     def status(self, fingerprint: str, now_ms: int) -> Quarantined:
-        """Return whether a request is held now, and its crashes."""
+        """Return whether a request is held now, and its number of crashes."""
         suspect = self.suspect_by_fingerprint.get(fingerprint)
         if suspect is None:
             return Quarantined(False, 0)
         return Quarantined(now_ms < suspect.held_until_ms, suspect.crashes)
 
     def clear(self, fingerprint: str) -> None:
-        """Take the suspicion from a request that completed; a proven one stays held."""
+        """Clear a suspect that completed; a proven one stays held."""
         suspect = self.suspect_by_fingerprint.get(fingerprint)
         if suspect is not None and not suspect.proven:
             del self.suspect_by_fingerprint[fingerprint]
@@ -86,23 +86,23 @@
         for index, fingerprint in enumerate(fingerprints):
             key = keys[index] if index < len(keys) else ""
             suspect = self.suspect_by_fingerprint.pop(fingerprint, None) or Suspect()
-            # Put back at the end: the order is that of the last crash.
+            # Moved to the end: suspects are ordered by their last crash.
             self.suspect_by_fingerprint[fingerprint] = suspect
             if key and key in suspect.charged_attempts:
                 continue
             if key:
                 suspect.charged_attempts.append(key)
-                del suspect.charged_attempts[:-REMEMBERED_ATTEMPTS]
+                del suspect.charged_attempts[:-MAX_CHARGED_ATTEMPTS]
             if fingerprint not in present:
                 suspect.crashes += 1
             suspect.last_crash_ms = now_ms
             present[fingerprint] = suspect
         return present
 
-    def _forget(self, now_ms: int) -> None:
+    def _drop_expired(self, now_ms: int) -> None:
         while self.suspect_by_fingerprint:
             fingerprint, suspect = next(iter(self.suspect_by_fingerprint.items()))
-            kept_until_ms = max(suspect.held_until_ms, suspect.last_crash_ms + SUSPECT_MS)
-            if len(self.suspect_by_fingerprint) <= MAX_SUSPECTS and now_ms < kept_until_ms:
+            expires_at_ms = max(suspect.held_until_ms, suspect.last_crash_ms + SUSPECT_RETENTION_MS)
+            if len(self.suspect_by_fingerprint) <= MAX_SUSPECTS and now_ms < expires_at_ms:
                 return
             del self.suspect_by_fingerprint[fingerprint]
--- a/libs/state/tarragonhall_state/_requests.py
+++ b/libs/state/tarragonhall_state/_requests.py
@@ -1,8 +1,8 @@
-"""Which requests were already carried out, so that a resend gets the first result.
+"""Deduplication of applied requests, so that a resend gets the first result.
 
-A caller whose answer was lost sends its request again, perhaps to another leader and after the log
-was compacted. Without this table the resend would take effect a second time, or be refused as a
-conflict with itself. The table is part of the state, so every member and every snapshot has it.
+A caller whose reply was lost resends its request, perhaps to another leader and after the log was
+compacted. Without this table the resend would take effect twice, or be refused as a conflict with
+itself. The table is part of the replicated state and of every snapshot.
 """
 
 from __future__ import annotations
@@ -14,19 +14,19 @@
 
 DIGEST_BYTES = 16
 
-# An operator may send a script again the next morning: a day, and more than the 13,000 changes that
-# a day is planned to bring.
+# A day, since an operator may run a script again the next morning, and more entries than the 13,000
+# changes planned per day.
 OPERATOR_WINDOW_MS = 24 * 3_600 * 1_000
-OPERATOR_ENTRIES = 20_000
-# Entries and sidecars resend within seconds; five minutes outlive a pause and a change of leader.
-# The journal's commands are idempotent by their own ids as well, should the count bound it sooner.
+MAX_OPERATOR_REQUESTS = 20_000
+# Entries and sidecars resend within seconds; five minutes cover a process pause and a change of
+# leader. Journal commands are also idempotent by their own ids, should the count limit come first.
 JOURNAL_WINDOW_MS = 300 * 1_000
-JOURNAL_ENTRIES = 50_000
+MAX_JOURNAL_REQUESTS = 50_000
 
 
 @record
 class CallReference:
-    """Stands for a result that the journal can tell again: it holds whole histories.
+    """Replaces a result that the journal can rebuild, which may contain a whole history.
 
     For a `CallOpened`, `attempts` and `started` are those of the first result.
     """
@@ -39,7 +39,7 @@
 
 @record
 class Remembered:
-    """What a request asked, and what came of it."""
+    """The digest of a request body and its result."""
 
     digest: bytes
     result: object
@@ -47,10 +47,10 @@
 
 @mutable_record
 class RequestTable:
-    """Requests carried out within a window of time and number, oldest first.
+    """Requests applied within a window of time and count, oldest first.
 
-    Results are kept encoded: a snapshot then copies bytes instead of walking some 50,000 records,
-    for which the whole loop would stand still.
+    Results are stored encoded: a snapshot then copies bytes instead of encoding some 50,000
+    records, which would block the event loop.
     """
 
     window_ms: int
@@ -59,12 +59,12 @@
     at_ms_by_id: dict[str, int] = field(default_factory=dict)
 
     def find(self, request_id: str) -> Remembered | None:
-        """Return what is remembered of a request."""
+        """Return the stored result of a request, or None."""
         data = self.encoded_by_id.get(request_id)
         return None if data is None else decode(data)
 
     def add(self, request_id: str, digest: bytes, at_ms: int, result: object) -> None:
-        """Remember a request that was carried out, and forget those outside the window."""
+        """Store the result of an applied request, and drop requests outside the window."""
         self.encoded_by_id[request_id] = encode(Remembered(digest, result))
         self.at_ms_by_id[request_id] = at_ms
         while self.at_ms_by_id:
@@ -76,5 +76,5 @@
 
 
 def body_digest(body: object) -> bytes:
-    """Return a digest by which two bodies under one request id are told apart."""
+    """Return a digest that distinguishes two bodies under one request id."""
     return hashlib.sha256(encode(body)).digest()[:DIGEST_BYTES]
--- a/libs/state/tarragonhall_state/_tree.py
+++ b/libs/state/tarragonhall_state/_tree.py
@@ -1,4 +1,4 @@
-"""The settings tree: names at paths, inherited downwards, with the history of every change."""
+"""The settings tree: names set at paths, inherited downwards, with a history of changes."""
 
 from __future__ import annotations
 
@@ -26,16 +26,16 @@
     option_of,
 )
 
-# More than a day of the 13,000 changes that are planned for a day; some 10 MB.
-HISTORY_CHANGES = 20_000
-# 15,000 organisations with a path each, and as many teams above them.
+# More than the 13,000 changes planned per day; about 10 MB.
+MAX_HISTORY_CHANGES = 20_000
+# Covers 15,000 organisations with a path each, and as many teams above them.
 MAX_PATHS = 50_000
 DEFAULT_SOURCE = "default"
 
 
 @record
 class Origin:
-    """A value in force at a path, and the path it comes from (`default` where none sets it)."""
+    """A value in force at a path, and the path that sets it (`default` if none does)."""
 
     name: str
     value: object
@@ -44,7 +44,7 @@
 
 @record
 class Level:
-    """What one level says about a name; the nearest level that sets it is in force."""
+    """The value that one level sets for a name; the nearest such level is in force."""
 
     path: str
     value: object
@@ -53,17 +53,17 @@
 
 @mutable_record
 class SettingsTree:
-    """What is set at each path. Plans are made without changing anything, then committed."""
+    """The values set at each path. A change is planned without side effects, then committed."""
 
     values_by_path: dict[str, object] = field(default_factory=dict)
     history: list[ChangeRecord] = field(default_factory=list)
 
     def values_at(self, path: str) -> dict[str, object]:
-        """Return what is set at this very path."""
+        """Return the values set at exactly this path."""
         return self.values_by_path.get(path, {})
 
     def resolve(self, path: str, name: str) -> Origin:
-        """Return what is in force at a path, and from where."""
+        """Return the value of a name in force at a path, and its source."""
         for level in ancestors(path):
             values = self.values_at(level)
             if name in values:
@@ -81,19 +81,19 @@
         return found
 
     def explain(self, path: str) -> list[Origin]:
-        """Return every inherited name in force at a path, and from where."""
+        """Return every inheritable name with its value in force at a path, and its source."""
         return [self.resolve(path, name) for name in OPTION_BY_NAME]
 
     def export(self, path: str) -> dict[str, dict[str, object]]:
-        """Return what is set at each path of a subtree."""
+        """Return the values set at each path of a subtree."""
         found = {}
-        for one in sorted(self.values_by_path):
-            if is_within(one, path):
-                found[one] = dict(self.values_at(one))
+        for node_path in sorted(self.values_by_path):
+            if is_within(node_path, path):
+                found[node_path] = dict(self.values_at(node_path))
         return found
 
     def plan(self, change: SettingsChange) -> tuple[list[SettingChange], list[Finding]]:
-        """Return what a change would change, or everything that is wrong with it."""
+        """Return the differences that a change would make, or all findings against it."""
         findings = check_path(change.path, "/path")
         if findings:
             return [], findings
@@ -115,15 +115,15 @@
         return self._differences(wanted), []
 
     def commit(self, entry: ChangeRecord) -> None:
-        """Carry out a planned change and remember it."""
+        """Apply a planned change and add it to the history."""
         for change in entry.changes:
-            self._put(change)
+            self._apply_change(change)
         self.history.append(entry)
-        if len(self.history) > HISTORY_CHANGES:
-            del self.history[: len(self.history) - HISTORY_CHANGES]
+        if len(self.history) > MAX_HISTORY_CHANGES:
+            del self.history[: len(self.history) - MAX_HISTORY_CHANGES]
 
     def changes_within(self, path: str) -> list[ChangeRecord]:
-        """Return the remembered changes that touched a subtree, oldest first."""
+        """Return the changes in the history that touched a subtree, oldest first."""
         found = []
         for entry in self.history:
             touched = any(is_within(change.path, path) for change in entry.changes)
@@ -132,26 +132,26 @@
         return found
 
     def diff(self, path: str, after: int, until: int) -> list[SettingChange]:
-        """Return what changed in a subtree after one revision, up to another."""
-        first_by_place: dict[tuple[str, str], SettingChange] = {}
-        last_by_place: dict[tuple[str, str], SettingChange] = {}
+        """Return the net changes in a subtree after one revision, up to another."""
+        first_by_setting: dict[tuple[str, str], SettingChange] = {}
+        last_by_setting: dict[tuple[str, str], SettingChange] = {}
         for entry in self.history:
             if not after < entry.revision <= until:
                 continue
             for change in entry.changes:
                 if not is_within(change.path, path):
                     continue
-                first_by_place.setdefault((change.path, change.name), change)
-                last_by_place[change.path, change.name] = change
+                first_by_setting.setdefault((change.path, change.name), change)
+                last_by_setting[change.path, change.name] = change
         found = []
-        for place, first in sorted(first_by_place.items()):
-            last = last_by_place[place]
+        for setting, first in sorted(first_by_setting.items()):
+            last = last_by_setting[setting]
             if first.old != last.new:
                 found.append(SettingChange(first.path, first.name, first.old, last.new))
         return found
 
     def oldest_reachable(self, revision: int) -> int:
-        """Return the oldest revision that the history can lead back to."""
+        """Return the oldest revision to which the history can roll back."""
         return self.history[0].revision - 1 if self.history else revision
 
     def _plan_change(self, change: ChangeSettings) -> tuple[dict, list[Finding]]:
@@ -198,7 +198,7 @@
                 changes.append(SettingChange(path, name, old, new))
         return changes
 
-    def _put(self, change: SettingChange) -> None:
+    def _apply_change(self, change: SettingChange) -> None:
         values = self.values_by_path.setdefault(change.path, {})
         if change.new is not None:
             values[change.name] = change.new
--- a/libs/state/tarragonhall_state/_turns.py
+++ b/libs/state/tarragonhall_state/_turns.py
@@ -1,7 +1,7 @@
-"""Kept turns and token budgets: the state machine over the stores' log.
+"""Stored turns and token budgets: the state machine over the stores' log.
 
-Time is that of the log (`TurnCommand.at_ms`), never a clock of this machine, so that every member
-forgets the same turns at the same entry.
+Time is taken from the log (`TurnCommand.at_ms`), never from the local clock, so that every member
+drops the same turns at the same log entry.
 """
 
 from __future__ import annotations
@@ -28,18 +28,19 @@
 )
 
 SNAPSHOT_FORMAT = 1
-# A turn is forgotten this much after its time: its end reached the caller after it was recorded,
-# and a caller that comes back in the last moment of its retention must still find it.
+# Added to each retention. A caller learns of a turn's end after it was recorded, and its request at
+# the last moment of the retention must still find the turn.
 RETENTION_SLACK_MS = 5_000
-# Programs on routes that keep nothing are remembered at least this long after their last turn.
-MIN_PROGRAM_MS = 60_000
+# Token budgets of programs on routes without retention are stored at least this long after their
+# last turn.
+MIN_PROGRAM_RETENTION_MS = 60_000
 
 ProgramKey = tuple[str, str]
 
 
 @dataclass(slots=True)
-class KeptTurn:
-    """One turn that ended whole. `previous` names the one before it; None at a chain's start."""
+class StoredTurn:
+    """One complete turn. `previous` is the id of the turn before it; None starts a chain."""
 
     org_id: str
     previous: str | None
@@ -51,30 +52,30 @@
 
 @dataclass(slots=True)
 class ProgramTokens:
-    """What a program has spent, and what its running turns may still spend at their most."""
+    """The tokens that a program has spent, and those reserved for its running turns."""
 
     spent: int = 0
     reserved_by_attempt: dict[str, int] = field(default_factory=dict)
-    # Attempts that ended. A reservation that was delayed on its way would else be made after its
-    # turn had ended, and never be freed.
+    # Ids of ended attempts. Without them, a delayed reservation would be made after its turn had
+    # ended and never be released.
     ended: set[str] = field(default_factory=set)
     expires_ms: int = 0
 
-    def claimed(self) -> int:
-        """Return what is spent or may still be."""
+    def spent_or_reserved(self) -> int:
+        """Return the tokens that are spent or reserved."""
         return self.spent + sum(self.reserved_by_attempt.values())
 
 
 class TurnState:
-    """All kept turns and budgets. `apply` gives the same result on every member."""
+    """All stored turns and budgets. `apply` is deterministic on every member."""
 
-    __slots__ = ("_due", "clock_ms", "program_by_key", "turn_by_id")
+    __slots__ = ("_expiry_heap", "clock_ms", "program_by_key", "turn_by_id")
 
     def __init__(self) -> None:
         self.clock_ms = 0
-        self.turn_by_id: dict[str, KeptTurn] = {}
+        self.turn_by_id: dict[str, StoredTurn] = {}
         self.program_by_key: dict[ProgramKey, ProgramTokens] = {}
-        self._due: list[tuple[int, int, object]] = []
+        self._expiry_heap: list[tuple[int, int, object]] = []
 
     def apply(self, index: int, data: bytes) -> object:
         """Apply one committed command and return its result."""
@@ -85,28 +86,28 @@
         if not isinstance(command, TurnCommand):
             return Refusal(RefusalCode.BAD_INPUT, "expected a command of the stores")
         self.clock_ms = max(self.clock_ms, command.at_ms)
-        self._forget_expired()
+        self._drop_expired()
         match command.body:
             case ReserveTurn():
                 return self._reserve(command.body)
             case EndTurn():
                 return self._end(command.body)
             case KeepTurn():
-                return self._keep(command.body)
+                return self._store_turn(command.body)
         return Refusal(RefusalCode.BAD_INPUT, f"unknown command {type(command.body).__name__}")
 
     def chain(self, turn_id: str) -> list[str]:
-        """Return the turns that lead to one, oldest first, itself included."""
+        """Return the ids of the chain that ends with this turn, oldest first."""
         found: list[str] = []
-        at: str | None = turn_id
-        while at is not None:
-            found.append(at)
-            at = self.turn_by_id[at].previous
+        current: str | None = turn_id
+        while current is not None:
+            found.append(current)
+            current = self.turn_by_id[current].previous
         found.reverse()
         return found
 
     def content(self, turn_ids: list[str]) -> list[TurnContent]:
-        """Return the content of those of the turns that are held."""
+        """Return the content of the given turns that are stored."""
         found = []
         for turn_id in turn_ids:
             turn = self.turn_by_id.get(turn_id)
@@ -116,7 +117,7 @@
         return found
 
     def snapshot(self) -> bytes:
-        """Return the whole state."""
+        """Return the whole state, encoded."""
         turns = [
             [
                 turn_id,
@@ -144,16 +145,16 @@
         if version != SNAPSHOT_FORMAT:
             raise CodecError("this snapshot has a format that this version cannot read")
         self.clock_ms = clock_ms
-        self.turn_by_id = {turn_id: KeptTurn(*parts) for turn_id, *parts in turns}
+        self.turn_by_id = {turn_id: StoredTurn(*parts) for turn_id, *parts in turns}
         self.program_by_key = {}
         for org_id, program_id, spent, reserved, ended, expires_ms in programs:
             tokens = ProgramTokens(spent, reserved, set(ended), expires_ms)
             self.program_by_key[(org_id, program_id)] = tokens
-        self._due = []
+        self._expiry_heap = []
         for turn_id, turn in self.turn_by_id.items():
-            self._remember(turn.expires_ms, turn_id)
+            self._schedule_expiry(turn.expires_ms, turn_id)
         for key, tokens in self.program_by_key.items():
-            self._remember(tokens.expires_ms, key)
+            self._schedule_expiry(tokens.expires_ms, key)
 
     def _reserve(self, command: ReserveTurn) -> object:
         server_id = ""
@@ -170,7 +171,7 @@
         if command.attempt_id in tokens.ended:
             return TurnEnded()
         if command.attempt_id not in tokens.reserved_by_attempt:
-            if tokens.claimed() + command.most > command.budget:
+            if tokens.spent_or_reserved() + command.most > command.budget:
                 return BudgetSpent(tokens.spent)
             tokens.reserved_by_attempt[command.attempt_id] = command.most
         return TurnReserved(chain, server_id)
@@ -180,7 +181,7 @@
         self._settle(tokens, command.attempt_id, command.used)
         return TurnRecorded()
 
-    def _keep(self, command: KeepTurn) -> TurnRecorded | UnknownTurn:
+    def _store_turn(self, command: KeepTurn) -> TurnRecorded | UnknownTurn:
         if command.attempt_id in self.turn_by_id:
             return TurnRecorded()
         if command.previous is not None and command.previous not in self.turn_by_id:
@@ -188,7 +189,7 @@
         tokens = self._program(command.org_id, command.program_id, command.retention_ms)
         self._settle(tokens, command.attempt_id, command.used)
         expires_ms = self.clock_ms + command.retention_ms + RETENTION_SLACK_MS
-        self.turn_by_id[command.attempt_id] = KeptTurn(
+        self.turn_by_id[command.attempt_id] = StoredTurn(
             command.org_id,
             command.previous,
             command.input,
@@ -196,8 +197,8 @@
             command.server_id,
             expires_ms,
         )
-        self._remember(expires_ms, command.attempt_id)
-        self._prolong(command.previous, expires_ms)
+        self._schedule_expiry(expires_ms, command.attempt_id)
+        self._extend_chain(command.previous, expires_ms)
         return TurnRecorded()
 
     def _settle(self, tokens: ProgramTokens, attempt_id: str, used: int) -> None:
@@ -210,33 +211,35 @@
     def _program(self, org_id: str, program_id: str, retention_ms: int) -> ProgramTokens:
         key = (org_id, program_id)
         tokens = self.program_by_key.get(key)
-        expires_ms = self.clock_ms + max(retention_ms, MIN_PROGRAM_MS) + RETENTION_SLACK_MS
+        expires_ms = (
+            self.clock_ms + max(retention_ms, MIN_PROGRAM_RETENTION_MS) + RETENTION_SLACK_MS
+        )
         if tokens is None:
             tokens = ProgramTokens()
             self.program_by_key[key] = tokens
-            self._remember(expires_ms, key)
+            self._schedule_expiry(expires_ms, key)
         tokens.expires_ms = max(tokens.expires_ms, expires_ms)
         return tokens
 
-    def _prolong(self, turn_id: str | None, expires_ms: int) -> None:
-        """Keep a chain as long as its newest turn."""
+    def _extend_chain(self, turn_id: str | None, expires_ms: int) -> None:
+        """Extend the expiry of a whole chain to that of its newest turn."""
         while turn_id is not None:
             turn = self.turn_by_id[turn_id]
             turn.expires_ms = max(turn.expires_ms, expires_ms)
             turn_id = turn.previous
 
-    def _remember(self, expires_ms: int, key: object) -> None:
-        heapq.heappush(self._due, (expires_ms, id(key), key))
+    def _schedule_expiry(self, expires_ms: int, key: object) -> None:
+        heapq.heappush(self._expiry_heap, (expires_ms, id(key), key))
 
-    def _forget_expired(self) -> None:
-        """Drop what is due; what was prolonged meanwhile goes back into the heap."""
-        while self._due and self._due[0][0] <= self.clock_ms:
-            _due_ms, _order, key = heapq.heappop(self._due)
-            held = self.turn_by_id if isinstance(key, str) else self.program_by_key
-            one = held.get(key)
-            if one is None:
+    def _drop_expired(self) -> None:
+        """Drop expired items; an item whose expiry was extended is queued again."""
+        while self._expiry_heap and self._expiry_heap[0][0] <= self.clock_ms:
+            _due_ms, _order, key = heapq.heappop(self._expiry_heap)
+            item_by_key = self.turn_by_id if isinstance(key, str) else self.program_by_key
+            item = item_by_key.get(key)
+            if item is None:
                 continue
-            if one.expires_ms > self.clock_ms:
-                self._remember(one.expires_ms, key)
+            if item.expires_ms > self.clock_ms:
+                self._schedule_expiry(item.expires_ms, key)
                 continue
-            del held[key]
+            del item_by_key[key]
--- a/libs/state/tests/calls_tests.py
+++ b/libs/state/tests/calls_tests.py
@@ -30,7 +30,7 @@
     Usage,
     encode,
 )
-from tarragonhall_state import KEEP_ENDED_MS, MAX_HISTORY_BYTES, ControlState
+from tarragonhall_state import ENDED_PROGRAM_RETENTION_MS, MAX_HISTORY_BYTES, ControlState
 
 NOW_MS = 1_000_000
 
@@ -309,7 +309,7 @@
     assert journal(ExpirePrograms()).program_ids == ["prog-1"]
     assert journal.state.living(["prog-1"]).program_ids == []
     journal.restart()
-    journal.now_ms += KEEP_ENDED_MS
+    journal.now_ms += ENDED_PROGRAM_RETENTION_MS
     journal(ExpirePrograms())
     assert code_of(journal.state.program("prog-1", "school")) is RefusalCode.NOT_FOUND
     assert journal.state.next_due_ms() is None
--- a/libs/state/tests/configuration_tests.py
+++ b/libs/state/tests/configuration_tests.py
@@ -3,7 +3,7 @@
 import pytest
 from tarragonhall_model import Command, RefusalCode, encode
 from tarragonhall_state import (
-    DELTA_REVISIONS,
+    MAX_DELTA_REVISIONS,
     ChangeAccepted,
     ChangeRefused,
     ChangeSettings,
@@ -106,12 +106,12 @@
 def test_a_rollback_is_a_new_change_and_leaves_other_subtrees_alone():
     operators = Operators()
     operators.set("/texas", {"weight": 3})
-    mark = operators.state.revision
+    target = operators.state.revision
     operators.set("/texas", {"weight": 4, "idle_seconds": 60})
     operators.set("/ar", {"weight": 9})
-    rolled = operators(RollBack("/texas", mark, "ana", operators.state.revision))
+    rolled = operators(RollBack("/texas", target, "ana", operators.state.revision))
     assert isinstance(rolled, ChangeAccepted)
-    assert rolled.revision == mark + 3
+    assert rolled.revision == target + 3
     tree = operators.state.configuration.tree
     assert tree.export("/") == {"/ar": {"weight": 9.0}, "/texas": {"weight": 3.0}}
     kinds = [entry.kind for entry in tree.changes_within("/texas")]
@@ -204,7 +204,7 @@
 def test_one_far_behind_gets_the_whole_and_one_near_gets_a_delta():
     # A process returns after more changes than deltas are kept for.
     operators = Operators()
-    for number in range(DELTA_REVISIONS + 5):
+    for number in range(MAX_DELTA_REVISIONS + 5):
         operators.set("/texas", {"weight": 1 + number % 50})
     assert operators.state.policy_since(1).full
     assert not operators.state.policy_since(operators.state.revision - 5).full
--- a/libs/state/tests/journal_properties_tests.py
+++ b/libs/state/tests/journal_properties_tests.py
@@ -74,7 +74,7 @@
     used=st.integers(0, MAX_TOKENS),
     execution=st.sampled_from(Execution),
 )
-NOBODY = Program("prog-0", "prog-0", "school", 1, 0, 0)
+MISSING_PROGRAM = Program("prog-0", "prog-0", "school", 1, 0, 0)
 
 
 def attempt_of(program_id: str, seq: int, number: int) -> AttemptId:
@@ -119,7 +119,7 @@
         if with_open_call:
             busy = [one for one in known if one.calls and one.calls[-1].state is CallState.OPEN]
             living = busy or living
-        chosen = living or known or [NOBODY]
+        chosen = living or known or [MISSING_PROGRAM]
         return chosen[pick % len(chosen)]
 
     def pick_attempt(self, pick: int) -> AttemptId:
@@ -308,7 +308,7 @@
                     one for one in call.attempts if one.state is not AttemptState.DISPROVED
                 ]
                 assert call.spec.repeatable or len(undisproved) <= 1
-                if call.has_run_nowhere():
+                if call.is_proved_not_run():
                     assert undisproved == []
 
     @invariant()
--- a/libs/state/tests/quarantine_tests.py
+++ b/libs/state/tests/quarantine_tests.py
@@ -1,7 +1,12 @@
 from __future__ import annotations
 
 from tarragonhall_model import AttemptId, ReportCrash
-from tarragonhall_state._quarantine import HELD_MS, PROVEN_MS, SUSPECT_MS, Quarantine
+from tarragonhall_state._quarantine import (
+    PROVEN_HOLD_MS,
+    SUSPECT_RETENTION_MS,
+    TEMPORARY_HOLD_MS,
+    Quarantine,
+)
 
 NOW_MS = 1_000_000
 
@@ -14,7 +19,7 @@
     quarantine.report(ReportCrash("engine-1", "life-1", list(fingerprints), attempts), now_ms)
 
 
-def held(quarantine: Quarantine, now_ms: int = NOW_MS) -> set[str]:
+def quarantined(quarantine: Quarantine, now_ms: int = NOW_MS) -> set[str]:
     return {name for name in "pabcd" if quarantine.status(name, now_ms).quarantined}
 
 
@@ -23,12 +28,12 @@
     # program. Without quarantine it takes down the fleet, one server after the other.
     quarantine = Quarantine()
     crash(quarantine, "p")
-    assert held(quarantine) == set()
+    assert quarantined(quarantine) == set()
     crash(quarantine, "p", number=2)
-    assert held(quarantine) == {"p"}
+    assert quarantined(quarantine) == {"p"}
     quarantine.clear("p")
-    assert held(quarantine) == {"p"}
-    assert held(quarantine, NOW_MS + PROVEN_MS) == set()
+    assert quarantined(quarantine) == {"p"}
+    assert quarantined(quarantine, NOW_MS + PROVEN_HOLD_MS) == set()
 
 
 def test_in_two_crowds_the_one_that_was_in_both_is_held_and_no_innocent_one():
@@ -37,7 +42,7 @@
     quarantine = Quarantine()
     crash(quarantine, "p", "a", "b")
     crash(quarantine, "p", "c", "d", number=2)
-    assert held(quarantine) == {"p"}
+    assert quarantined(quarantine) == {"p"}
 
 
 def test_innocent_ones_that_are_always_beside_it_are_not_held_for_good():
@@ -46,12 +51,12 @@
     quarantine = Quarantine()
     for number in (1, 2):
         crash(quarantine, "p", "a", number=number)
-    assert held(quarantine) == set()
+    assert quarantined(quarantine) == set()
     crash(quarantine, "p", "a", number=3)
-    assert held(quarantine) == {"p", "a"}
-    assert held(quarantine, NOW_MS + HELD_MS) == set()
-    crash(quarantine, "p", number=4, now_ms=NOW_MS + HELD_MS)
-    assert held(quarantine, NOW_MS + HELD_MS) == {"p"}
+    assert quarantined(quarantine) == {"p", "a"}
+    assert quarantined(quarantine, NOW_MS + TEMPORARY_HOLD_MS) == set()
+    crash(quarantine, "p", number=4, now_ms=NOW_MS + TEMPORARY_HOLD_MS)
+    assert quarantined(quarantine, NOW_MS + TEMPORARY_HOLD_MS) == {"p"}
 
 
 def test_one_that_completes_is_cleared():
@@ -59,7 +64,7 @@
     crash(quarantine, "p", "a")
     quarantine.clear("a")
     crash(quarantine, "a", number=2)
-    assert held(quarantine) == set()
+    assert quarantined(quarantine) == set()
     assert quarantine.status("a", NOW_MS).crashes == 1
 
 
@@ -70,11 +75,11 @@
     crash(quarantine, "p")
     crash(quarantine, "p")
     assert quarantine.status("p", NOW_MS).crashes == 1
-    assert held(quarantine) == set()
+    assert quarantined(quarantine) == set()
 
 
 def test_suspects_are_forgotten_after_a_while():
     quarantine = Quarantine()
     crash(quarantine, "p")
-    crash(quarantine, "a", now_ms=NOW_MS + SUSPECT_MS)
+    crash(quarantine, "a", now_ms=NOW_MS + SUSPECT_RETENTION_MS)
     assert list(quarantine.suspect_by_fingerprint) == ["a"]
--- a/libs/state/tests/takeover_tests.py
+++ b/libs/state/tests/takeover_tests.py
@@ -30,8 +30,8 @@
     return journal
 
 
-def apply(journal: Journal, command: object, living: set[str] = frozenset()) -> object:
-    return journal.apply(command, living, 1_000)
+def apply(journal: Journal, command: object, live_entries: set[str] = frozenset()) -> object:
+    return journal.apply(command, live_entries, 1_000)
 
 
 def test_a_repeatable_call_whose_attempt_is_lost_is_open_to_a_further_attempt():
@@ -66,10 +66,10 @@
     # A caller sends the request that crashes servers again, under a new program each time. Its
     # first call would take down one more server each time.
     journal = journal_with_attempt()
-    mark = fingerprint("org", "desk", "{}")
+    crash_fingerprint = fingerprint("org", "desk", "{}")
     for number in (1, 2):
         attempt = AttemptId("prog", 1, number, f"desk-{number}", "life")
-        apply(journal, ReportCrash(f"desk-{number}", "life", [mark], [attempt]))
+        apply(journal, ReportCrash(f"desk-{number}", "life", [crash_fingerprint], [attempt]))
     apply(journal, OpenProgram("prog-2", "org", Budget(), 600))
     refused = apply(journal, OpenCall("prog-2", "org", SPEC, "entry-1"))
     assert isinstance(refused, Refusal)
@@ -92,10 +92,10 @@
     # The first entry gave the call up while control did not answer, and lives on. Its caller's
     # resends go through the second one, which would wait for the first for ever.
     journal = Journal()
-    living = {"entry-1", "entry-2"}
+    live_entries = {"entry-1", "entry-2"}
     apply(journal, OpenProgram("prog", "org", Budget(), 600))
-    apply(journal, OpenCall("prog", "org", SPEC, "entry-1"), living)
+    apply(journal, OpenCall("prog", "org", SPEC, "entry-1"), live_entries)
     again = OpenCall("prog", "org", SPEC, "entry-2")
-    assert apply(journal, again, living) == CallRunning("entry-1")
+    assert apply(journal, again, live_entries) == CallRunning("entry-1")
     patient = OpenCall("prog", "org", SPEC, "entry-2", take_over=True)
-    assert isinstance(apply(journal, patient, living), CallOpened)
+    assert isinstance(apply(journal, patient, live_entries), CallOpened)
--- a/libs/state/tests/turns_tests.py
+++ b/libs/state/tests/turns_tests.py
@@ -29,21 +29,23 @@
         self.now_ms = 0
         self.index = 0
 
-    def do(self, body: object) -> object:
+    def apply(self, body: object) -> object:
         self.index += 1
         return self.state.apply(self.index, encode(TurnCommand(self.now_ms, body)))
 
-    def reserve(self, attempt, most=100, budget=1_000, previous=None, org="org", program="p"):
-        return self.do(ReserveTurn(attempt, org, program, budget, most, previous, RETENTION_MS))
+    def reserve(self, attempt, max_tokens=100, budget=1_000, previous=None, org="org", program="p"):
+        return self.apply(
+            ReserveTurn(attempt, org, program, budget, max_tokens, previous, RETENTION_MS)
+        )
 
     def keep(self, attempt, used=50, previous=None, org="org", program="p"):
         text = attempt.encode()
-        return self.do(
+        return self.apply(
             KeepTurn(attempt, org, program, previous, text, text + b"!", used, "i-1", RETENTION_MS)
         )
 
     def end(self, attempt, used=0, org="org", program="p"):
-        return self.do(EndTurn(attempt, org, program, used, RETENTION_MS))
+        return self.apply(EndTurn(attempt, org, program, used, RETENTION_MS))
 
 
 def test_a_chain_is_told_oldest_first():
@@ -66,17 +68,17 @@
     # Two sub-agents ask at once for what is left of the budget. Counting only what was generated so
     # far would let both run, and the program would spend more than its operator allowed.
     stores = Stores()
-    assert isinstance(stores.reserve("a", most=600), TurnReserved)
-    assert stores.reserve("b", most=600) == BudgetSpent()
+    assert isinstance(stores.reserve("a", max_tokens=600), TurnReserved)
+    assert stores.reserve("b", max_tokens=600) == BudgetSpent()
     stores.end("a", used=100)
-    assert isinstance(stores.reserve("b", most=600), TurnReserved)
+    assert isinstance(stores.reserve("b", max_tokens=600), TurnReserved)
 
 
 def test_a_turn_that_never_ran_costs_nothing():
     stores = Stores()
-    stores.reserve("a", most=1_000)
+    stores.reserve("a", max_tokens=1_000)
     stores.end("a", used=0)
-    assert isinstance(stores.reserve("b", most=1_000), TurnReserved)
+    assert isinstance(stores.reserve("b", max_tokens=1_000), TurnReserved)
 
 
 def test_a_reservation_that_arrives_after_the_end_is_not_made():
@@ -84,17 +86,17 @@
     # would never be freed, and the program would be refused although its budget holds more.
     stores = Stores()
     stores.end("a", used=0)
-    assert stores.reserve("a", most=1_000) == TurnEnded()
-    assert isinstance(stores.reserve("b", most=1_000), TurnReserved)
+    assert stores.reserve("a", max_tokens=1_000) == TurnEnded()
+    assert isinstance(stores.reserve("b", max_tokens=1_000), TurnReserved)
 
 
 def test_commands_that_come_twice_count_once():
     stores = Stores()
-    stores.reserve("a", most=400)
-    stores.reserve("a", most=400)
+    stores.reserve("a", max_tokens=400)
+    stores.reserve("a", max_tokens=400)
     assert stores.keep("a", used=300) == TurnRecorded()
     assert stores.keep("a", used=300) == TurnRecorded()
-    assert stores.state.program_by_key[("org", "p")].claimed() == 300
+    assert stores.state.program_by_key[("org", "p")].spent_or_reserved() == 300
 
 
 def test_a_chain_lives_as_long_as_its_newest_turn():
@@ -112,10 +114,10 @@
 
 def test_a_spent_program_that_comes_back_is_still_spent():
     stores = Stores()
-    stores.reserve("a", most=1_000)
+    stores.reserve("a", max_tokens=1_000)
     stores.end("a", used=1_000)
     stores.now_ms = RETENTION_MS
-    assert stores.reserve("b", most=1) == BudgetSpent(1_000)
+    assert stores.reserve("b", max_tokens=1) == BudgetSpent(1_000)
 
 
 NAMES = st.sampled_from(["a", "b", "c", "d", "e"])
@@ -127,11 +129,11 @@
 )
 
 
-def play(stores: Stores, command: tuple) -> object:
+def run_command(stores: Stores, command: tuple) -> object:
     kind, name, number = command
     match kind:
         case "reserve":
-            return stores.reserve(name, most=number)
+            return stores.reserve(name, max_tokens=number)
         case "keep":
             return stores.keep(name, used=number)
         case "end":
@@ -151,7 +153,7 @@
             copy = TurnState()
             copy.restore(restored.state.snapshot())
             restored.state = copy
-        assert play(straight, command) == play(restored, command)
+        assert run_command(straight, command) == run_command(restored, command)
     assert straight.state.snapshot() == restored.state.snapshot()
 
 
@@ -167,6 +169,6 @@
             reserved = tokens.reserved_by_attempt.get(name, 0) if tokens is not None else 0
             command = (kind, name, min(number, reserved))
             spent_by_attempt.setdefault(name, command[2])
-        play(stores, command)
+        run_command(stores, command)
         tokens = stores.state.program_by_key.get(("org", "p"))
-        assert tokens is None or tokens.claimed() <= 1_000
+        assert tokens is None or tokens.spent_or_reserved() <= 1_000
--- a/libs/state/tests/views_tests.py
+++ b/libs/state/tests/views_tests.py
@@ -26,8 +26,8 @@
     assert views.view().entries_version == 3
 
 
-def _entry(entry_id, life, address=None):
-    return EntryRecord(entry_id, life, address or f"addr-{entry_id}", "zone")
+def _entry(entry_id, incarnation, address=None):
+    return EntryRecord(entry_id, incarnation, address or f"addr-{entry_id}", "zone")
 
 
 def test_owners_settle_once_every_earlier_life_has_ended():
@@ -87,8 +87,10 @@
     """A sidecar of the zone that restarts announces itself as ready and must get no calls."""
     views = Views()
     views.evacuate_zone("zone", True, 1)
-    for life in ("1", "2"):
-        views.announce_server(ServerRecord("s", life, "addr", "zone", ServerKind.MODEL, ["m"]), 2)
+    for incarnation in ("1", "2"):
+        views.announce_server(
+            ServerRecord("s", incarnation, "addr", "zone", ServerKind.MODEL, ["m"]), 2
+        )
         assert views.view().servers[0].draining
     views.evacuate_zone("zone", False, 3)
     assert not views.view().servers[0].draining
