--- a/libs/state/tarragonhall_state/_programs.py
+++ b/libs/state/tarragonhall_state/_programs.py
@@ -297,7 +297,8 @@
         if not program.is_open:
             return program.ended_at_ms + ENDED_PROGRAM_RETENTION_MS
         idle_ms = program.active_until_ms + program.idle_seconds * 1_000
-        # A program with an open call is not idle before the deadline of that call.
+        # A program with an open call, such as a hanging tool, is not idle before the deadline of
+        # that call.
         last = program.calls[-1] if program.calls else None
         if last is not None and last.state is CallState.OPEN:
             idle_ms = max(idle_ms, last.deadline_at_ms)
--- a/libs/state/tests/calls_tests.py
+++ b/libs/state/tests/calls_tests.py
@@ -36,7 +36,7 @@
 
 
 class Journal:
-    """Commits commands one after the other, each under a request id of its own."""
+    """Applies commands one after the other, each with its own request id."""
 
     def __init__(self, budget: Budget | None = None, idle_seconds: int = 30) -> None:
         self.state = ControlState()
@@ -85,9 +85,9 @@
     return result.code
 
 
-def test_a_call_opens_only_once_the_one_before_has_ended():
-    # A caller sends two calls at once, and they reach two entries. Run side by side, the second
-    # would not know the first one's answer.
+def test_a_call_opens_only_after_the_previous_one_has_ended():
+    # A caller sends two calls at once through two entries. Run concurrently, the second call would
+    # lack the first one's answer in its history.
     journal = Journal()
     journal.open(1)
     early = journal.open(2)
@@ -98,7 +98,7 @@
     assert isinstance(journal.open(2), CallOpened)
 
 
-def test_a_resent_call_is_told_what_became_of_it_and_another_body_is_a_conflict():
+def test_a_resent_call_returns_its_state_and_a_different_body_is_a_conflict():
     journal = Journal()
     journal.open(1)
     journal.start(1)
@@ -108,9 +108,9 @@
     assert journal.open(1, timeout_ms=5, stream=True).answer.text == "done"
 
 
-def test_a_call_whose_entry_is_gone_passes_to_the_one_that_asks():
-    # An entry opens a call and dies before it dispatches anything. The caller resends through
-    # another entry and must not wait for the dead one.
+def test_a_call_whose_entry_is_gone_is_reassigned_to_the_requesting_entry():
+    # An entry opens a call and crashes before it dispatches anything. The caller resends through
+    # another entry, which must not wait for the crashed one.
     journal = Journal()
     for name in ("entry-1", "entry-2"):
         journal(AnnounceEntry(EntryRecord(name, "life", "127.0.0.1:1", "tx-waco")))
@@ -121,9 +121,9 @@
     assert isinstance(journal.start(1, entry="entry-2"), AttemptRecorded)
 
 
-def test_of_two_entries_that_start_the_same_call_one_is_told_that_it_runs():
-    # Both entries believe that the call is theirs, after one of them was paused. Were both
-    # attempts recorded, a district would be billed twice.
+def test_of_two_entries_that_start_the_same_call_only_one_records_an_attempt():
+    # After one entry was paused, both act as the owner of the call. If both attempts were recorded,
+    # a call that must not repeat would run twice and bill twice.
     journal = Journal()
     journal.open(1, repeatable=False)
     assert isinstance(journal.start(1, entry="entry-1"), AttemptRecorded)
@@ -131,18 +131,18 @@
     assert journal.start(1, number=2, entry="entry-2") == CallRunning("entry-1", attempt())
 
 
-def test_of_two_entries_that_race_for_a_repeatable_call_the_loser_is_told_who_runs_it():
-    # The loser must wait for the winner's attempt; told of a mere conflict, it would fail its
-    # caller although the call runs.
+def test_of_two_entries_that_race_for_a_repeatable_call_the_loser_gets_the_running_attempt():
+    # The loser must wait for the winner's attempt; with only a conflict, it would fail its caller
+    # although the call is running.
     journal = Journal()
     journal.open(1)
     journal.start(1, entry="entry-1")
     assert journal.start(1, entry="entry-2") == CallRunning("entry-1", attempt())
 
 
-def test_what_must_not_repeat_gets_a_second_attempt_only_after_proof():
-    # The server with the first attempt goes silent. Only the sidecar's tombstone shows that the
-    # call never started there; without it a second attempt could send a second van.
+def test_a_non_repeatable_call_gets_a_second_attempt_only_after_proof():
+    # The server with the first attempt becomes unresponsive. Only the sidecar's tombstone proves
+    # that the call never started there; without it, a second attempt could repeat its effect.
     journal = Journal()
     journal.open(1, repeatable=False)
     journal.start(1)
@@ -152,8 +152,8 @@
 
 
 def test_an_attempt_number_is_never_used_again_after_the_call_was_abandoned():
-    # A sidecar keeps a tombstone for the first attempt. The caller gives up and sends the call
-    # again. Under the same number, the tombstone would refuse it for ever.
+    # A sidecar stores a tombstone for the first attempt. The caller abandons the call and sends it
+    # again. Under the same attempt number, the tombstone would reject it forever.
     journal = Journal()
     journal.open(1)
     journal.start(1)
@@ -165,7 +165,7 @@
     assert isinstance(journal.start(1, number=2), AttemptRecorded)
 
 
-def test_a_call_that_may_run_is_not_abandoned():
+def test_a_call_that_may_be_running_is_not_abandoned():
     journal = Journal()
     journal.open(1)
     journal.start(1)
@@ -174,8 +174,8 @@
 
 
 def test_the_first_answer_wins_and_a_late_one_replaces_unknown():
-    # A service acts and then hangs. Its caller is told that nobody knows; the answer arrives
-    # minutes later and must be found under the call from then on.
+    # A service acts and then hangs, so its caller gets an unknown outcome. The answer arrives
+    # minutes later and must be returned for the call from then on.
     journal = Journal()
     journal.open(1)
     journal.start(1)
@@ -188,9 +188,9 @@
     assert journal.spent() == (40, 1, 0, 0)
 
 
-def test_not_run_is_not_said_while_another_attempt_may_have_run():
-    # Two attempts of a repeatable call: one vanished with its server, the other was refused. The
-    # refusal says "not run", which holds for that attempt alone.
+def test_not_run_is_not_reported_while_another_attempt_may_have_run():
+    # Of two attempts of a repeatable call, one was lost with its server and the other refused. The
+    # refusal says "not run", which is true of that attempt only.
     journal = Journal()
     journal.open(1)
     journal.start(1, 1)
@@ -199,9 +199,9 @@
     assert closed.refusal.execution is Execution.UNKNOWN
 
 
-def test_only_a_call_that_can_never_run_is_known_to_have_not_run():
-    # A caller whose key was withdrawn resends a call. Waiting at an entry it may start at any
-    # moment, and the calls of a program that is unknown here may have run long ago.
+def test_only_a_call_that_can_never_run_is_reported_as_not_run():
+    # A caller whose key was withdrawn resends a call. A call queued at an entry may start at any
+    # moment, and the calls of an unknown program may have run long ago.
     journal = Journal()
     assert journal.state.execution("prog-1", 1) is Execution.NOT_RUN
     assert journal.state.execution("prog-9", 1) is Execution.UNKNOWN
@@ -214,9 +214,9 @@
 
 
 def test_an_answer_of_a_disproved_attempt_closes_nothing():
-    # A sidecar proved that an attempt never ran, and then an answer arrives under its number,
-    # crossed or forged. It was taken with an empty result: the entry had neither an answer nor a
-    # refusal to give to its caller.
+    # A sidecar proved that an attempt never ran, then a misdirected or forged answer arrives under
+    # its number. If that were accepted with an empty result, the entry would have neither an answer
+    # nor a refusal for its caller.
     journal = Journal()
     journal.open(1)
     journal.start(1)
@@ -225,19 +225,21 @@
     assert isinstance(journal.start(1, number=2), AttemptRecorded)
 
 
-def test_an_answer_from_another_life_of_the_server_is_refused():
-    # The sidecar restarted; an answer comes under the attempt's number from the later life, which
-    # cannot know the attempt. Taken, it would be the answer to something else.
+def test_an_answer_from_another_incarnation_of_the_server_is_refused():
+    # The sidecar restarted, and its new incarnation, which cannot know the attempt, sends an answer
+    # under the attempt's number. That answer must belong to something else.
     journal = Journal()
     journal.open(1)
     journal.start(1)
-    stranger = AttemptId("prog-1", 1, 1, "engine-1", "life-2")
-    assert code_of(journal(CloseCall(stranger, answer=Answer("x")))) is RefusalCode.CONFLICT
+    other_incarnation = AttemptId("prog-1", 1, 1, "engine-1", "life-2")
+    assert (
+        code_of(journal(CloseCall(other_incarnation, answer=Answer("x")))) is RefusalCode.CONFLICT
+    )
 
 
 def test_sub_agents_race_for_the_last_tokens_of_their_root():
-    # Two sub-agents open a call at the same moment, and the budget allows one of them. The other
-    # is told to come back, since the reservation may be given back.
+    # Two sub-agents open a call at the same time, and the budget allows one. The other gets a retry
+    # delay while the first one's reservation may still be released.
     journal = Journal(Budget(150, 10, 3_600))
     for child in ("prog-2", "prog-3"):
         assert isinstance(journal.open_program(child, parent="prog-1"), ProgramInfo)
@@ -252,7 +254,7 @@
     assert last.retry_after_ms is None
 
 
-def test_a_loop_without_end_is_stopped_by_the_budget_of_calls():
+def test_an_endless_loop_is_stopped_by_the_call_budget():
     journal = Journal(Budget(1_000_000, 3, 3_600))
     for seq in (1, 2, 3):
         journal.open(seq)
@@ -262,8 +264,8 @@
 
 
 def test_more_tokens_than_reserved_are_counted_and_stop_the_next_call():
-    # An engine ignores max_tokens. What it generated was used, so it counts; the calls after it
-    # have to make do with the rest.
+    # An engine ignores max_tokens. All generated tokens count, and later calls get only the rest of
+    # the budget.
     journal = Journal(Budget(200, 10, 3_600))
     journal.open(1)
     journal.start(1)
@@ -272,15 +274,15 @@
     assert code_of(journal.open(2)) is RefusalCode.BUDGET_EXHAUSTED
 
 
-def test_a_history_has_a_bound():
+def test_the_history_size_is_limited():
     journal = Journal()
     refused = journal.open(1, body="x" * (MAX_HISTORY_BYTES + 1))
     assert code_of(refused) is RefusalCode.BUDGET_EXHAUSTED
 
 
 def test_ending_a_program_ends_its_sub_agents_and_their_unstarted_calls():
-    # A caller cancels while one sub-agent waits for a server and another runs. The waiting one
-    # must never be dispatched; the running one's answer is still recorded.
+    # A caller cancels while one sub-agent's call waits for a server and another's is running. The
+    # waiting call must never be dispatched; the answer of the running one is still recorded.
     journal = Journal()
     journal.open_program("prog-2", parent="prog-1")
     journal.open_program("prog-3", parent="prog-2")
@@ -298,9 +300,9 @@
     assert journal.spent() == (40, 1, 0, 0)
 
 
-def test_a_program_whose_process_died_expires_and_is_dropped_later():
-    # A program's process dies between two turns. Nobody ends the program, and the engine would
-    # hold its memory for ever.
+def test_a_program_whose_process_crashed_expires_and_is_dropped_later():
+    # A caller's process crashes between two turns and never ends its program. Without expiry, the
+    # engine would hold the program's memory forever.
     journal = Journal(idle_seconds=30)
     assert journal.state.next_due_ms() == NOW_MS + 30_000
     journal.now_ms += 29_000
@@ -316,8 +318,8 @@
 
 
 def test_a_program_that_waits_for_a_slow_sub_agent_is_not_idle():
-    # A tool of a sub-agent takes longer than the parent's idle time. Expired, the parent would
-    # take the running sub-agent with it.
+    # A call of a sub-agent takes longer than the parent's idle timeout. If the parent expired, the
+    # running sub-agent would end with it.
     journal = Journal(idle_seconds=30)
     journal.open_program("prog-2", parent="prog-1", idle=30)
     journal.open(1, "prog-2", timeout_ms=120_000)
@@ -330,8 +332,8 @@
 
 
 def test_a_program_is_idle_from_the_end_of_a_long_call_not_from_its_deadline():
-    # A call that might have taken an hour ends after half a minute, and then its caller's process
-    # dies. Its program must not hold engine memory for the rest of the hour.
+    # A call with a timeout of most of an hour ends after half a minute, and then its caller's
+    # process crashes. The program must not hold engine memory for the rest of the timeout.
     journal = Journal(idle_seconds=30)
     journal.open(1, timeout_ms=3_000_000)
     journal.start(1)
@@ -342,10 +344,10 @@
     assert journal(ExpirePrograms()).program_ids == ["prog-1"]
 
 
-def test_a_snapshot_holds_what_an_expired_sub_agent_gave_back():
-    # A sub-agent expires with a call that never started, and its reservation goes back to the
-    # root. The root was encoded before that; taken as it was, a restored member would hold the
-    # reservation for ever and refuse calls that fit the budget.
+def test_a_snapshot_includes_the_reservation_released_by_an_expired_sub_agent():
+    # A sub-agent expires with a call that never started, which releases a reservation of the root.
+    # If a snapshot reused the root's earlier encoding, a restored member would hold the reservation
+    # forever and refuse calls that fit the budget.
     journal = Journal(Budget(1_000, 10, 3_600), idle_seconds=600)
     journal.open_program("prog-2", parent="prog-1", idle=10)
     journal.open(1, "prog-2", timeout_ms=1_000)
@@ -358,23 +360,24 @@
 
 
 def test_programs_expire_in_the_same_order_on_a_restored_member():
-    # A member that took a snapshot queues its programs anew. If it listed them in another order,
-    # two members would hold two results for one command, and a resend would depend on the leader.
+    # A member restored from a snapshot rebuilds its queue. If it listed expired programs in another
+    # order, members would store different results for one command, and the result of a resend would
+    # depend on the leader.
     journal = Journal(idle_seconds=30)
     journal.now_ms += 5_000
     journal.open_program("prog-2", idle=30)
     journal.now_ms += 15_000
     journal.open(1, timeout_ms=1)
-    twin = ControlState()
-    twin.restore(journal.state.snapshot())
+    restored = ControlState()
+    restored.restore(journal.state.snapshot())
     journal.now_ms += 100_000
     data = encode(Command("req-expire", journal.now_ms, ExpirePrograms()))
     expired = journal.state.apply(99, data)
-    assert expired == twin.apply(99, data)
+    assert expired == restored.apply(99, data)
     assert expired.program_ids == ["prog-1", "prog-2"]
 
 
-def test_the_budget_of_time_ends_a_program_that_is_busy():
+def test_the_time_budget_ends_a_busy_program():
     journal = Journal(Budget(1_000, 10, 60), idle_seconds=30)
     journal.open(1, timeout_ms=600_000)
     journal.now_ms += 60_000
@@ -383,8 +386,8 @@
 
 
 def test_one_idempotency_key_opens_one_program_for_each_organisation():
-    # The answer to an open is lost and the caller sends it again, through another entry, which
-    # draws another program id.
+    # The reply to an open is lost and the caller resends it through another entry, which generates
+    # another program id.
     journal = Journal()
     first = journal.open_program("prog-2", idempotency_key="k")
     assert journal.open_program("prog-3", idempotency_key="k") == first
@@ -394,9 +397,9 @@
     assert code_of(changed) is RefusalCode.CONFLICT
 
 
-def test_a_leaders_clock_that_is_behind_does_not_turn_time_back():
-    # The next leader's clock is an hour slow. Were its time taken as it is, budgets of time would
-    # grow and programs expire an hour late.
+def test_a_slow_clock_of_a_new_leader_does_not_move_log_time_back():
+    # The next leader's clock is an hour slow. If log time followed it, time budgets would grow and
+    # programs would expire an hour late.
     journal = Journal(idle_seconds=30)
     journal.now_ms += 30_000
     journal.open_program("prog-2", idle=3_000)
@@ -404,7 +407,7 @@
     assert journal(ExpirePrograms()).program_ids == ["prog-1"]
 
 
-def test_a_closed_call_is_told_to_a_query():
+def test_a_query_returns_the_state_of_a_call():
     journal = Journal()
     journal.open(1)
     assert isinstance(journal.state.call("prog-1", 1, "school"), CallOpened)
--- a/libs/state/tests/configuration_tests.py
+++ b/libs/state/tests/configuration_tests.py
@@ -26,7 +26,7 @@
 
 
 class Operators:
-    """Commits commands, each under a request id of its own."""
+    """Applies commands, each with its own request id."""
 
     def __init__(self) -> None:
         self.state = ControlState()
@@ -52,7 +52,7 @@
     return {finding.place: finding.message for finding in result.findings}
 
 
-def test_values_are_inherited_and_say_where_they_come_from():
+def test_values_are_inherited_with_their_source():
     operators = Operators()
     operators.set("/", {"weight": 2, "rate.burst": 30})
     operators.set("/texas", {"rate.burst": 40})
@@ -68,7 +68,7 @@
     assert levels == [("/texas", True), ("/", False), ("default", False)]
 
 
-def test_all_findings_come_at_once_with_their_places():
+def test_all_findings_are_returned_at_once_with_pointers():
     operators = Operators()
     change = ChangeSettings(
         "/texas",
@@ -88,13 +88,13 @@
 
 
 @pytest.mark.parametrize("path", ["", "texas", "/Texas", "/texas/", "//", "/a" * 9, "/a b"])
-def test_a_path_that_is_none_is_refused(path):
+def test_an_invalid_path_is_refused(path):
     operators = Operators()
     revision = operators.state.revision
     assert "/path" in findings_of(operators(ChangeSettings(path, {}, [], "ana", revision)))
 
 
-def test_a_dry_run_tells_the_change_and_makes_none():
+def test_a_dry_run_returns_the_change_without_applying_it():
     operators = Operators()
     before = operators.state.snapshot()
     change = ChangeSettings("/texas", {"weight": 3}, [], "ana", operators.state.revision)
@@ -130,9 +130,9 @@
     }
 
 
-def test_a_replaced_key_works_on_for_the_overlap_only():
-    # A key is rotated while its callers still hold the old one. Ended at once, every caller would
-    # be refused until its settings are changed; never ended, the old key would leak on.
+def test_a_replaced_key_is_valid_only_for_the_overlap():
+    # A key is rotated while callers still use the old one. If it ended at once, callers would be
+    # refused until they are reconfigured; if it never ended, a leaked key would stay valid.
     operators = Operators()
     operators(GrantKey(KEY_HASH, "school", "ana"))
     successor = "cd" * 32
@@ -144,8 +144,7 @@
 
 
 def test_a_withdrawn_key_cannot_be_granted_again():
-    # A key that leaked was withdrawn. A script that grants the same hash again must not bring it
-    # back.
+    # A leaked key was withdrawn. A script that grants the same hash again must not reactivate it.
     operators = Operators()
     operators(GrantKey(KEY_HASH, "school", "ana"))
     operators(WithdrawKey(key_id_of(KEY_HASH), "ana"))
@@ -160,9 +159,9 @@
     assert b"thk_" not in operators.state.snapshot()
 
 
-def test_the_first_operator_is_made_once():
-    # Each founding member was initialised by mistake, and every one proposes a first operator.
-    # The second one must not get in beside the first.
+def test_the_first_operator_is_created_once():
+    # By mistake, every bootstrap member was initialised and each proposes a first operator. Only
+    # one of these operators may be created.
     operators = Operators()
     assert isinstance(operators(CreateFirstOperator("root", "ab" * 32)), ChangeAccepted)
     assert isinstance(operators(CreateFirstOperator("root", "ab" * 32)), ChangeAccepted)
@@ -170,7 +169,7 @@
     assert isinstance(operators(CreateFirstOperator("other", "cd" * 32)), ChangeRefused)
 
 
-def test_an_operator_reaches_its_subtree_in_its_role_alone():
+def test_an_operator_has_only_its_role_and_only_on_its_subtree():
     operators = Operators()
     operators(CreateFirstOperator("root", "ab" * 32))
     operators(CreateOperator("ana", "cd" * 32, "/texas", "editor", "root"))
@@ -182,15 +181,15 @@
     assert not ana.may(OperatorRole.READER, "/texas-2")
 
 
-def test_the_last_admin_over_everything_stays():
-    # An operator removes its own token. With no admin left, nobody could ever change anything.
+def test_the_last_admin_at_the_root_cannot_be_removed():
+    # An operator removes itself. With no admin left, nobody could change the configuration again.
     operators = Operators()
     operators(CreateFirstOperator("root", "ab" * 32))
     refused = operators(RemoveOperator("root", "root"))
     assert refused.code is RefusalCode.CONFLICT
 
 
-def test_a_model_is_set_at_the_root_and_goes_with_its_version():
+def test_a_model_is_set_at_the_root_and_removed_with_its_version():
     operators = Operators()
     operators.set("/", {"model.plan.8b.version": "v1", "model.plan.8b.max_tokens": 64})
     follower = Follower()
@@ -201,8 +200,8 @@
     assert follower.model_by_name == {}
 
 
-def test_one_far_behind_gets_the_whole_and_one_near_gets_a_delta():
-    # A process returns after more changes than deltas are kept for.
+def test_a_follower_far_behind_gets_the_full_set_and_a_recent_one_a_delta():
+    # A process reconnects after more changes than the log of touched ids covers.
     operators = Operators()
     for number in range(MAX_DELTA_REVISIONS + 5):
         operators.set("/texas", {"weight": 1 + number % 50})
--- a/libs/state/tests/follower_tests.py
+++ b/libs/state/tests/follower_tests.py
@@ -14,26 +14,26 @@
 SCHOOL = OrganisationPolicy("school", "/school")
 
 
-def test_freshness_counts_from_the_question_not_from_the_answer():
-    # An answer that spent two seconds in a queue says what held two seconds ago. Counted from its
-    # arrival, a withdrawn key would work for the lease and two seconds more.
+def test_the_lease_starts_at_the_request_not_at_the_reply():
+    # A reply that was queued for two seconds describes the state of two seconds ago. With a lease
+    # from its arrival, a withdrawn key would work for two seconds longer than the lease.
     follower = Follower()
     follower.confirm(Fresh(0, 0, 1), sent_at=10.0)
     assert follower.is_fresh(10.0 + FRESHNESS_LEASE_SECONDS - 0.01)
     assert not follower.is_fresh(10.0 + FRESHNESS_LEASE_SECONDS)
 
 
-def test_a_process_that_was_paused_is_not_fresh_when_it_wakes():
-    # The process is stopped for a minute with requests at hand. When it goes on, its settings are
-    # a minute old, and it must find that out before it uses them.
+def test_a_process_is_not_fresh_after_a_long_pause():
+    # A process is paused for a minute with requests in flight. When it resumes, its settings are a
+    # minute old, and it must detect that before it uses them.
     follower = Follower()
     follower.confirm(Fresh(0, 0, 1), sent_at=10.0)
     assert not follower.is_fresh(70.0)
 
 
-def test_an_answer_whose_delta_was_lost_makes_nothing_fresh():
-    # The leader is at revision 5; the delta that leads there never arrived. The old settings must
-    # not be taken for the new ones.
+def test_a_reply_whose_delta_was_lost_does_not_extend_the_lease():
+    # The leader is at revision 5, but the delta to it never arrived. The old settings must not pass
+    # for current ones.
     follower = Follower()
     follower.confirm(Fresh(5, 0, 1), sent_at=10.0)
     assert not follower.is_fresh(10.0)
@@ -42,7 +42,7 @@
     assert follower.key_by_hash == {KEY.key_hash: KEY}
 
 
-def test_an_old_answer_that_arrives_late_does_not_shorten_the_lease():
+def test_a_late_reply_to_an_old_request_does_not_shorten_the_lease():
     follower = Follower()
     follower.confirm(Fresh(0, 0, 1), sent_at=12.0)
     follower.confirm(Fresh(0, 0, 1), sent_at=10.0)
@@ -50,7 +50,7 @@
 
 
 def test_neither_settings_nor_view_nor_fencing_go_back():
-    # Messages from an old leader arrive after those of the new one.
+    # Messages from a former leader arrive after those of the new one.
     follower = Follower()
     follower.apply_policy(PolicyDelta(0, 7, full=True, organisations=(SCHOOL,)))
     assert not follower.apply_policy(PolicyDelta(0, 6, full=True))
@@ -63,15 +63,15 @@
     assert (follower.settings_revision, follower.view.epoch, follower.fencing) == (7, 3, 9)
 
 
-def test_a_delta_from_another_base_is_not_taken():
-    # The push before this one was lost. Merged all the same, what it held would be missing for
-    # good, under a number that says it is there.
+def test_a_delta_with_another_base_is_not_applied():
+    # The previous push was lost. If this one were merged, the lost changes would be missing for
+    # good, although the revision claims to include them.
     follower = Follower()
     assert not follower.apply_policy(PolicyDelta(3, 4, keys=(KEY,)))
     assert follower.settings_revision == 0
 
 
-def test_a_full_set_replaces_what_was_held():
+def test_a_full_set_replaces_the_previous_policy():
     follower = Follower()
     follower.apply_policy(PolicyDelta(0, 1, keys=(KEY,), organisations=(SCHOOL,)))
     follower.apply_policy(PolicyDelta(0, 9, full=True, organisations=(SCHOOL,)))
@@ -79,10 +79,10 @@
     assert follower.organisation_by_id == {"school": SCHOOL}
 
 
-def test_a_follower_that_admits_callers_refuses_a_delta_without_them():
-    # An entry shares its process, and so its link, with a sidecar. A new leader heard only the
-    # sidecar so far and pushes what a sidecar needs. Taken for whole, the revision would say that a
-    # withdrawn key is gone, while the key goes on working.
+def test_a_follower_that_admits_callers_ignores_a_delta_with_models_only():
+    # An entry shares its process, and so its link, with a sidecar. Only the sidecar has reported to
+    # a new leader, which pushes the subset for sidecars. Applied as a complete delta, it would
+    # raise the revision past the withdrawal of a key that goes on working.
     delta = PolicyDelta(0, 1, models_only=True)
     entry, sidecar = Follower(), Follower(models_only=True)
     assert (entry.apply_policy(delta), entry.settings_revision) == (False, 0)
@@ -90,8 +90,8 @@
 
 
 def test_a_relay_document_never_goes_back():
-    # Two members push documents that overtake each other. The older one would bring back routes
-    # and keys that were dropped.
+    # Documents pushed by two members arrive out of order. The older one would restore routes and
+    # keys that were removed.
     follower = Follower()
     newer, older = RelayDocument(5, b"5"), RelayDocument(4, b"4")
     assert follower.relay_version == 0
--- a/libs/state/tests/journal_properties_tests.py
+++ b/libs/state/tests/journal_properties_tests.py
@@ -1,4 +1,4 @@
-"""Properties of the program journal under any order of commands, resends and restarts."""
+"""Properties of the program journal under any sequence of commands, resends and restarts."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Choices:
-    """What one action may vary in."""
+    """Random parameters of one action."""
 
     action: str
     shift: int
@@ -60,10 +60,10 @@
 
 programs = st.sampled_from(PROGRAMS)
 orgs = st.sampled_from(ORGS)
-# Chooses among the programs or attempts that there are at the time.
+# Index into the programs or attempts that exist at the time.
 picks = st.integers(0, 11)
-# Ends must be rare, or no program gets far.
-rarely = st.integers(0, 5)
+# Ends must be rare, or programs would have few calls.
+one_in_six = st.integers(0, 5)
 choices = st.builds(
     Choices,
     action=st.sampled_from(ACTIONS),
@@ -86,10 +86,10 @@
 
     def __init__(self) -> None:
         super().__init__()
-        # So few that programs are encoded between snapshots here too.
+        # Low enough that programs are also encoded between snapshots.
         self.bound = mock.patch.object(_programs, "MAX_UNENCODED", 1)
         self.bound.start()
-        self.steady = ControlState()
+        self.reference = ControlState()
         self.restarted = ControlState()
         self.now_ms = 1_000
         self.sent: list[tuple[str, object, int]] = []
@@ -105,25 +105,25 @@
 
     def apply(self, request_id: str, body: object) -> object:
         data = encode(Command(request_id, self.now_ms, body))
-        result = self.steady.apply(1, data)
+        result = self.reference.apply(1, data)
         assert self.restarted.apply(1, data) == result
         return result
 
     def all_programs(self) -> dict[str, Program]:
-        return self.steady._journals[0]._programs.by_id
+        return self.reference._journals[0]._programs.by_id
 
     def pick_program(self, pick: int, with_open_call: bool = False) -> Program:
-        """Return a program, an open one rather than an ended one."""
+        """Return a program, preferably an open one."""
         known = list(self.all_programs().values())
-        living = [program for program in known if program.is_open]
+        open_programs = [program for program in known if program.is_open]
         if with_open_call:
             busy = [one for one in known if one.calls and one.calls[-1].state is CallState.OPEN]
-            living = busy or living
-        chosen = living or known or [MISSING_PROGRAM]
+            open_programs = busy or open_programs
+        chosen = open_programs or known or [MISSING_PROGRAM]
         return chosen[pick % len(chosen)]
 
     def pick_attempt(self, pick: int) -> AttemptId:
-        """Return a recorded attempt, or one that was never recorded where there is none."""
+        """Return a recorded attempt, or an unrecorded one if there is none."""
         recorded = [
             attempt.attempt_id
             for program in self.all_programs().values()
@@ -142,7 +142,7 @@
 
     @rule(pick=picks, choices=choices)
     def act(self, pick, choices) -> None:
-        """Do one thing to a call. One rule for all, so that each run has all of them."""
+        """Perform one action on a call. A single rule, so that every run includes all actions."""
         match choices.action:
             case "open":
                 self.open_call(pick, choices)
@@ -219,7 +219,7 @@
         body = AbandonCall(program.program_id, seq, program.org_id, choices.entry_id)
         self.commit(body)
 
-    @rule(pick=picks, chance=rarely)
+    @rule(pick=picks, chance=one_in_six)
     def end(self, pick, chance) -> None:
         if chance:
             return
@@ -227,23 +227,23 @@
         self.commit(EndProgram(program.program_id, program.org_id, ProgramStatus.FINISHED))
 
     @rule(pick=picks)
-    def another_organisation_intrudes(self, pick) -> None:
+    def access_from_another_organisation(self, pick) -> None:
         program = self.pick_program(pick)
         before = encode(program)
         other = ORGS[1 - ORGS.index(program.org_id)]
         seq = max(1, len(program.calls))
         spec = CallSpec(seq, CallKind.MODEL, "planner", "a", True, MAX_TOKENS)
         attempt = attempt_of(program.program_id, seq, 1)
-        tries = (
+        commands = (
             OpenCall(program.program_id, other, spec, "entry-1"),
             StartAttempt(attempt, other, "entry-1"),
             AbandonCall(program.program_id, seq, other, "entry-1"),
             EndProgram(program.program_id, other, ProgramStatus.CANCELLED),
         )
-        assert isinstance(self.commit(tries[pick % len(tries)]), Refusal)
+        assert isinstance(self.commit(commands[pick % len(commands)]), Refusal)
         assert encode(program) == before
 
-    @rule(seconds=st.sampled_from((1, 5, 15, 30, 1_000)), chance=rarely)
+    @rule(seconds=st.sampled_from((1, 5, 15, 30, 1_000)), chance=one_in_six)
     def wait_and_expire(self, seconds, chance) -> None:
         if chance:
             seconds = 1
@@ -252,14 +252,14 @@
 
     @rule(data=st.data())
     def resend(self, data) -> None:
-        before = self.steady.snapshot()
+        before = self.reference.snapshot()
         oldest_ms = self.now_ms - JOURNAL_WINDOW_MS
         within_window = [one for one in self.sent[-20:] if one[2] >= oldest_ms]
         if not within_window:
             return
         request_id, body, _ = data.draw(st.sampled_from(within_window))
         self.apply(request_id, body)
-        assert self.steady.snapshot() == before
+        assert self.reference.snapshot() == before
 
     @rule()
     def restart(self) -> None:
@@ -277,8 +277,8 @@
             )
 
     @invariant()
-    def what_was_encoded_earlier_still_holds(self) -> None:
-        for state in (self.steady, self.restarted):
+    def stored_encodings_are_current(self) -> None:
+        for state in (self.reference, self.restarted):
             programs = state._journals[0]._programs
             for program_id, data in programs._encoded_by_id.items():
                 assert data == encode(programs.by_id[program_id])
@@ -289,19 +289,22 @@
         for program in self.all_programs().values():
             reserved_by_root.setdefault(program.root_id, 0)
             for call in program.calls:
-                held = [call.holds_reservation, *(one.holds_reservation for one in call.attempts)]
-                reserved_by_root[program.root_id] += sum(held)
+                reservations = [
+                    call.holds_reservation,
+                    *(one.holds_reservation for one in call.attempts),
+                ]
+                reserved_by_root[program.root_id] += sum(reservations)
         for program in self.all_programs().values():
-            purse = program.purse
-            if purse is None:
+            root_budget = program.purse
+            if root_budget is None:
                 continue
-            assert purse.reserved_calls == reserved_by_root[program.program_id]
-            assert purse.reserved_tokens == MAX_TOKENS * purse.reserved_calls
-            assert purse.tokens + purse.reserved_tokens <= purse.budget.tokens
-            assert purse.calls + purse.reserved_calls <= purse.budget.calls
+            assert root_budget.reserved_calls == reserved_by_root[program.program_id]
+            assert root_budget.reserved_tokens == MAX_TOKENS * root_budget.reserved_calls
+            assert root_budget.tokens + root_budget.reserved_tokens <= root_budget.budget.tokens
+            assert root_budget.calls + root_budget.reserved_calls <= root_budget.budget.calls
 
     @invariant()
-    def what_must_not_repeat_has_one_attempt_at_most(self) -> None:
+    def non_repeatable_calls_have_at_most_one_undisproved_attempt(self) -> None:
         for program in self.all_programs().values():
             for call in program.calls:
                 undisproved = [
@@ -318,16 +321,16 @@
                 if call.answer is not None:
                     assert call.answer.text == f"{program.program_id} {call.spec.seq}"
             other = ORGS[1 - ORGS.index(program.org_id)]
-            assert isinstance(self.steady.program(program.program_id, other), Refusal)
+            assert isinstance(self.reference.program(program.program_id, other), Refusal)
 
     @rule()
     def take_a_snapshot(self) -> None:
-        self.steady.snapshot()
+        self.reference.snapshot()
 
     def teardown(self) -> None:
         self.bound.stop()
-        assert self.steady.snapshot() == self.restarted.snapshot()
+        assert self.reference.snapshot() == self.restarted.snapshot()
 
 
 JournalMachine.TestCase.settings = settings(max_examples=100, stateful_step_count=40, deadline=None)
-test_the_journal_keeps_its_promises_under_any_commands = JournalMachine.TestCase
+test_the_journal_invariants_hold_under_any_commands = JournalMachine.TestCase
--- a/libs/state/tests/machine_tests.py
+++ b/libs/state/tests/machine_tests.py
@@ -70,9 +70,9 @@
     assert (spent.tokens, spent.calls, spent.reserved_tokens) == (40, 1, 0)
 
 
-def test_a_resend_gets_the_first_result_also_from_a_restored_member():
-    # The answer to an operator's change is lost with the leader. The tool sends the change again,
-    # to the next leader. Without the table the operator would be told of a conflict with itself.
+def test_a_resend_gets_the_first_result_even_from_a_restored_member():
+    # The reply to an operator's change is lost with the leader, and the tool resends the change to
+    # the next one. Without the request table, the change would conflict with itself.
     state = ControlState()
     create = CreateOrganisation("school", "/school", {"weight": 2}, "ana", 0)
     first = apply(state, "req-1", create)
@@ -84,8 +84,8 @@
 
 
 def test_one_request_id_with_two_bodies_is_a_conflict():
-    # Two tools draw the same request id. Were the second one given the first one's result, its
-    # operator would believe in a change that never happened.
+    # Two tools generate the same request id. If the second one got the first one's result, its
+    # operator would be informed of a change that never happened.
     state = ControlState()
     apply(state, "req-1", CreateOrganisation("school", "/school", {}, "ana"))
     result = apply(state, "req-1", CreateOrganisation("winery", "/winery", {}, "ana"))
@@ -104,8 +104,9 @@
 
 
 def test_a_resend_of_an_open_that_recorded_an_attempt_gets_it_again():
-    # The answer to an open is lost with the leader, and the entry's resend reaches the next one.
-    # Told only that the attempt is running, the entry would wait for what it has to start itself.
+    # The reply to an open is lost with the leader, and the entry resends the open to the next one.
+    # If the reply were only that the attempt is running, the entry would wait for an attempt that
+    # it has to start itself.
     state = ControlState()
     open_program(state)
     spec = CallSpec(1, CallKind.MODEL, "planner", "drop runs?", max_tokens=100)
@@ -127,7 +128,7 @@
     assert state.snapshot() == before
 
 
-def test_of_two_operators_who_expect_one_revision_the_second_is_told_what_is_in_force():
+def test_of_two_operators_who_expect_one_revision_the_second_gets_the_values_in_force():
     state = ControlState()
     apply(state, "req-1", CreateOrganisation("school", "/school", {}, "ana", 0))
     first = ChangeSettings("/school", {"rate.burst": 50}, [], "ana", 1)
--- a/libs/state/tests/quarantine_tests.py
+++ b/libs/state/tests/quarantine_tests.py
@@ -23,9 +23,9 @@
     return {name for name in "pabcd" if quarantine.status(name, now_ms).quarantined}
 
 
-def test_a_request_that_crashes_two_servers_alone_is_held():
-    # One request crashes every server that runs it, and its caller sends it again under a new
-    # program. Without quarantine it takes down the fleet, one server after the other.
+def test_a_request_that_crashes_two_servers_alone_is_quarantined():
+    # A request crashes every server that runs it, and its caller resends it under a new program.
+    # Without quarantine it would take down the fleet, one server after the other.
     quarantine = Quarantine()
     crash(quarantine, "p")
     assert quarantined(quarantine) == set()
@@ -36,18 +36,18 @@
     assert quarantined(quarantine, NOW_MS + PROVEN_HOLD_MS) == set()
 
 
-def test_in_two_crowds_the_one_that_was_in_both_is_held_and_no_innocent_one():
-    # Two crashes, each with innocent requests beside the guilty one. Held as well, the innocent
-    # ones' callers would get refusals for having been in bad company.
+def test_of_two_shared_crashes_only_the_request_present_at_both_is_quarantined():
+    # In two crashes, unrelated requests were running next to the one that caused them. Callers of
+    # the unrelated requests must not be refused.
     quarantine = Quarantine()
     crash(quarantine, "p", "a", "b")
     crash(quarantine, "p", "c", "d", number=2)
     assert quarantined(quarantine) == {"p"}
 
 
-def test_innocent_ones_that_are_always_beside_it_are_not_held_for_good():
-    # The same requests are retried together again and again. They are told apart only once one of
-    # them runs without the other, so a hold must end by itself.
+def test_requests_that_always_run_next_to_a_crashing_one_are_held_only_for_a_time():
+    # Two requests are always retried together. Which of them crashes the servers shows only when
+    # one runs without the other, so a hold must expire.
     quarantine = Quarantine()
     for number in (1, 2):
         crash(quarantine, "p", "a", number=number)
@@ -59,7 +59,7 @@
     assert quarantined(quarantine, NOW_MS + TEMPORARY_HOLD_MS) == {"p"}
 
 
-def test_one_that_completes_is_cleared():
+def test_a_suspect_that_completes_is_cleared():
     quarantine = Quarantine()
     crash(quarantine, "p", "a")
     quarantine.clear("a")
@@ -68,9 +68,9 @@
     assert quarantine.status("a", NOW_MS).crashes == 1
 
 
-def test_one_crash_that_is_reported_twice_counts_once():
-    # The sidecar's report is sent again after a lost answer, under a new request id. Counted
-    # twice, a single crash would quarantine its request.
+def test_a_crash_that_is_reported_twice_counts_once():
+    # A sidecar resends its report under a new request id after a lost reply. If it counted twice, a
+    # single crash would quarantine its request.
     quarantine = Quarantine()
     crash(quarantine, "p")
     crash(quarantine, "p")
@@ -78,7 +78,7 @@
     assert quarantined(quarantine) == set()
 
 
-def test_suspects_are_forgotten_after_a_while():
+def test_suspects_are_dropped_after_their_retention():
     quarantine = Quarantine()
     crash(quarantine, "p")
     crash(quarantine, "a", now_ms=NOW_MS + SUSPECT_RETENTION_MS)
--- a/libs/state/tests/settings_properties_tests.py
+++ b/libs/state/tests/settings_properties_tests.py
@@ -1,4 +1,4 @@
-"""Properties of the configuration under any order of operators, resends and followers."""
+"""Properties of the configuration under any sequence of changes, resends and follower updates."""
 
 from __future__ import annotations
 
@@ -37,16 +37,16 @@
 
 
 class ConfigurationMachine(RuleBasedStateMachine):
-    """Two members, one restored from snapshots, and followers that miss what they like."""
+    """Two members, one of which is restored from snapshots, and followers that miss updates."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.steady = ControlState()
+        self.reference = ControlState()
         self.restarted = ControlState()
         self.sent: list[tuple[str, object]] = []
-        self.accepted_expecting: list[int] = []
+        self.accepted_base_revisions: list[int] = []
         self.followers = [Follower(), Follower(), Follower()]
-        self.highest = 0
+        self.highest_revision = 0
 
     @initialize()
     def create(self) -> None:
@@ -59,43 +59,43 @@
 
     def apply(self, request_id: str, body: object) -> object:
         data = encode(Command(request_id, 1_000, body))
-        result = self.steady.apply(1, data)
+        result = self.reference.apply(1, data)
         assert self.restarted.apply(1, data) == result
         return result
 
     def change(self, body: object) -> None:
-        """Commit a settings change and hold the outcome against the number it expected."""
-        before = self.steady.revision
+        """Apply a settings change and check the result against its expected revision."""
+        before = self.reference.revision
         result = self.commit(body)
         if isinstance(result, ChangeAccepted):
             assert body.expected_revision == before
-            assert result.revision == self.steady.revision == before + 1
-            assert before not in self.accepted_expecting
-            self.accepted_expecting.append(before)
+            assert result.revision == self.reference.revision == before + 1
+            assert before not in self.accepted_base_revisions
+            self.accepted_base_revisions.append(before)
             return
         assert isinstance(result, ChangeRefused)
-        assert self.steady.revision == result.revision == before
+        assert self.reference.revision == result.revision == before
 
     @rule(path=paths, changed=values(), unset=names, author=operators, lag=st.integers(0, 2))
     def set_values(self, path, changed, unset, author, lag) -> None:
-        expected = max(0, self.steady.revision - lag)
+        expected = max(0, self.reference.revision - lag)
         removed = [unset] if unset not in changed else []
         self.change(ChangeSettings(path, changed, removed, author, expected))
 
     @rule(path=paths, back=st.integers(0, 5), author=operators)
     def roll_back(self, path, back, author) -> None:
-        revision = self.steady.revision
+        revision = self.reference.revision
         target = max(0, revision - back)
-        wanted = self.steady.configuration.tree.diff(path, target, revision)
+        wanted = self.reference.configuration.tree.diff(path, target, revision)
         self.change(RollBack(path, target, author, revision))
         for one in wanted:
-            assert self.steady.configuration.tree.values_at(one.path).get(one.name) == one.old
+            assert self.reference.configuration.tree.values_at(one.path).get(one.name) == one.old
 
     @rule(path=paths, author=operators)
     def import_what_was_exported(self, path, author) -> None:
-        nodes = self.steady.configuration.tree.export(path)
-        self.change(ImportSettings(path, nodes, author, self.steady.revision))
-        assert self.steady.configuration.tree.export(path) == nodes
+        nodes = self.reference.configuration.tree.export(path)
+        self.change(ImportSettings(path, nodes, author, self.reference.revision))
+        assert self.reference.configuration.tree.export(path) == nodes
 
     @rule(key_hash=st.sampled_from(HASHES), replaced=st.none() | st.sampled_from(HASHES))
     def grant(self, key_hash, replaced) -> None:
@@ -104,12 +104,12 @@
             GrantKey(key_hash, "school", "ana", replaces=replaces, overlap_seconds=5)
         )
         if isinstance(result, KeyGranted):
-            assert self.steady.configuration.keys.policy(key_hash) is not None
+            assert self.reference.configuration.keys.policy(key_hash) is not None
 
     @rule(key_hash=st.sampled_from(HASHES))
     def withdraw(self, key_hash) -> None:
         self.commit(WithdrawKey(key_id_of(key_hash), "ana"))
-        assert self.steady.configuration.keys.policy(key_hash) is None
+        assert self.reference.configuration.keys.policy(key_hash) is None
 
     @rule(org=st.sampled_from(("winery", "bodega")), path=paths, changed=values())
     def create_organisation(self, org, path, changed) -> None:
@@ -118,32 +118,32 @@
     @rule(index=st.integers(0, 2))
     def follower_catches_up(self, index) -> None:
         follower = self.followers[index]
-        delta = self.steady.policy_since(follower.settings_revision)
+        delta = self.reference.policy_since(follower.settings_revision)
         follower.apply_policy(delta)
-        assert follower.settings_revision == self.steady.revision
-        # From a member that has resolved nothing yet, so that no stale value is on both sides.
-        newcomer = ControlState()
-        newcomer.restore(self.steady.snapshot())
-        whole = Follower()
-        whole.apply_policy(newcomer.policy_since(-1))
-        assert follower.organisation_by_id == whole.organisation_by_id
-        assert follower.key_by_hash == whole.key_by_hash
-        assert follower.model_by_name == whole.model_by_name
+        assert follower.settings_revision == self.reference.revision
+        # From a member with an empty cache, so that a stale value cannot be on both sides.
+        uncached = ControlState()
+        uncached.restore(self.reference.snapshot())
+        full_follower = Follower()
+        full_follower.apply_policy(uncached.policy_since(-1))
+        assert follower.organisation_by_id == full_follower.organisation_by_id
+        assert follower.key_by_hash == full_follower.key_by_hash
+        assert follower.model_by_name == full_follower.model_by_name
 
     @rule(index=st.integers(0, 2), back=st.integers(0, 4))
-    def follower_hears_something_late(self, index, back) -> None:
+    def follower_receives_a_late_delta(self, index, back) -> None:
         follower = self.followers[index]
         before = follower.settings_revision
-        late = self.steady.policy_since(max(0, self.steady.revision - back))
+        late = self.reference.policy_since(max(0, self.reference.revision - back))
         follower.apply_policy(late)
         assert follower.settings_revision >= before
 
     @rule(data=st.data())
     def resend(self, data) -> None:
-        before = self.steady.snapshot()
+        before = self.reference.snapshot()
         request_id, body = data.draw(st.sampled_from(self.sent[-20:]))
         self.apply(request_id, body)
-        assert self.steady.snapshot() == before
+        assert self.reference.snapshot() == before
 
     @rule()
     def restart(self) -> None:
@@ -153,14 +153,14 @@
 
     @invariant()
     def the_revision_never_goes_back(self) -> None:
-        assert self.steady.revision >= self.highest
-        self.highest = self.steady.revision
+        assert self.reference.revision >= self.highest_revision
+        self.highest_revision = self.reference.revision
 
     def teardown(self) -> None:
-        assert self.steady.snapshot() == self.restarted.snapshot()
+        assert self.reference.snapshot() == self.restarted.snapshot()
 
 
 ConfigurationMachine.TestCase.settings = settings(
     max_examples=60, stateful_step_count=30, deadline=None
 )
-test_the_configuration_keeps_its_promises_under_any_changes = ConfigurationMachine.TestCase
+test_the_configuration_invariants_hold_under_any_changes = ConfigurationMachine.TestCase
--- a/libs/state/tests/takeover_tests.py
+++ b/libs/state/tests/takeover_tests.py
@@ -34,9 +34,9 @@
     return journal.apply(command, live_entries, 1_000)
 
 
-def test_a_repeatable_call_whose_attempt_is_lost_is_open_to_a_further_attempt():
-    # The entry and the server of a call die together. Without a further attempt the caller's
-    # resends would wait for an end that never comes.
+def test_a_repeatable_call_whose_attempt_is_lost_allows_another_attempt():
+    # The entry and the server of a call crash together. Without another attempt, the caller's
+    # resends would wait forever.
     journal = journal_with_attempt()
     again = OpenCall("prog", "org", SPEC, "entry-2")
     assert apply(journal, again) == CallRunning("entry-1", LOST)
@@ -46,25 +46,25 @@
     assert apply(journal, StartAttempt(second, "org", "entry-2")) == AttemptRecorded(second)
 
 
-def test_a_call_that_may_not_be_repeated_stays_with_its_lost_attempt():
-    # The lost attempt may have billed the district. A second one could bill it again.
+def test_a_non_repeatable_call_stays_with_its_lost_attempt():
+    # The lost attempt may have had its effect, such as a bill. A second one could repeat it.
     spec = CallSpec(1, CallKind.SERVICE, "desk", "{}", repeatable=False)
     journal = journal_with_attempt(spec)
     lost = OpenCall("prog", "org", spec, "entry-2", LOST)
     assert apply(journal, lost) == CallRunning("entry-1", LOST)
 
 
-def test_an_entry_that_is_alive_keeps_its_call():
-    # Only the link between the second entry and the server is broken; the first entry will hear
-    # the end. Taken over, the call would run twice for nothing.
+def test_a_live_entry_stays_the_owner_of_its_call():
+    # Only the link between the second entry and the server is broken; the first entry will receive
+    # the result. If the second one took over, the call would run twice needlessly.
     journal = journal_with_attempt()
     lost = OpenCall("prog", "org", SPEC, "entry-2", LOST)
     assert apply(journal, lost, {"entry-1"}) == CallRunning("entry-1")
 
 
 def test_a_request_that_crashed_two_servers_is_refused_under_a_new_program():
-    # A caller sends the request that crashes servers again, under a new program each time. Its
-    # first call would take down one more server each time.
+    # A caller resends a request that crashes servers, under a new program each time. Each first
+    # call would take down another server.
     journal = journal_with_attempt()
     crash_fingerprint = fingerprint("org", "desk", "{}")
     for number in (1, 2):
@@ -77,7 +77,7 @@
     assert isinstance(apply(journal, OpenCall("prog", "org", SPEC, "entry-1")), CallRunning)
 
 
-def test_a_first_attempt_is_recorded_with_its_call_but_never_with_a_resend():
+def test_a_first_attempt_is_recorded_with_its_call_but_not_with_a_resend():
     journal = Journal()
     apply(journal, OpenProgram("prog", "org", Budget(), 600))
     command = OpenCall("prog", "org", SPEC, "entry-1", first_attempt=LOST)
@@ -88,14 +88,14 @@
     assert apply(journal, again) == CallRunning("entry-1", LOST)
 
 
-def test_a_call_passes_from_a_living_entry_to_one_that_waited_long_enough():
-    # The first entry gave the call up while control did not answer, and lives on. Its caller's
-    # resends go through the second one, which would wait for the first for ever.
+def test_a_call_passes_from_a_live_entry_to_one_that_takes_over():
+    # The first entry abandoned the call while control did not respond, and is still running. The
+    # caller's resends go through the second entry, which would wait for the first one forever.
     journal = Journal()
     live_entries = {"entry-1", "entry-2"}
     apply(journal, OpenProgram("prog", "org", Budget(), 600))
     apply(journal, OpenCall("prog", "org", SPEC, "entry-1"), live_entries)
     again = OpenCall("prog", "org", SPEC, "entry-2")
     assert apply(journal, again, live_entries) == CallRunning("entry-1")
-    patient = OpenCall("prog", "org", SPEC, "entry-2", take_over=True)
-    assert isinstance(apply(journal, patient, live_entries), CallOpened)
+    take_over = OpenCall("prog", "org", SPEC, "entry-2", take_over=True)
+    assert isinstance(apply(journal, take_over, live_entries), CallOpened)
--- a/libs/state/tests/turns_tests.py
+++ b/libs/state/tests/turns_tests.py
@@ -1,4 +1,4 @@
-"""Kept turns and token budgets: what callers may rely on over any order of commands."""
+"""Stored turns and token budgets: guarantees to callers under any sequence of commands."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Stores:
-    """A state machine with a clock that the test moves."""
+    """A state machine with a clock that the test controls."""
 
     def __init__(self) -> None:
         self.state = TurnState()
@@ -48,7 +48,7 @@
         return self.apply(EndTurn(attempt, org, program, used, RETENTION_MS))
 
 
-def test_a_chain_is_told_oldest_first():
+def test_a_chain_is_returned_oldest_first():
     stores = Stores()
     stores.keep("a")
     stores.keep("b", previous="a")
@@ -57,16 +57,16 @@
     assert [one.input for one in stores.state.content(["a", "c"])] == [b"a", b"c"]
 
 
-def test_a_turn_of_another_organisation_does_not_exist():
-    # Told that it exists, or what it says, one customer would read the conversation of another.
+def test_a_turn_of_another_organisation_is_unknown():
+    # Otherwise one customer could detect or read the conversations of another.
     stores = Stores()
     stores.keep("a", org="org")
     assert stores.reserve("b", previous="a", org="other") == UnknownTurn()
 
 
-def test_running_turns_count_at_their_most():
-    # Two sub-agents ask at once for what is left of the budget. Counting only what was generated so
-    # far would let both run, and the program would spend more than its operator allowed.
+def test_running_turns_count_with_their_reservations():
+    # Two sub-agents request the rest of the budget at once. If only generated tokens counted, both
+    # would run and the program would exceed its budget.
     stores = Stores()
     assert isinstance(stores.reserve("a", max_tokens=600), TurnReserved)
     assert stores.reserve("b", max_tokens=600) == BudgetSpent()
@@ -82,15 +82,15 @@
 
 
 def test_a_reservation_that_arrives_after_the_end_is_not_made():
-    # The first message was held up; the entry gave up and freed the turn. Made now, the reservation
-    # would never be freed, and the program would be refused although its budget holds more.
+    # The reservation was delayed; the entry timed out and ended the turn. If it were made now, it
+    # would never be released, and the program would be refused while its budget still has tokens.
     stores = Stores()
     stores.end("a", used=0)
     assert stores.reserve("a", max_tokens=1_000) == TurnEnded()
     assert isinstance(stores.reserve("b", max_tokens=1_000), TurnReserved)
 
 
-def test_commands_that_come_twice_count_once():
+def test_repeated_commands_count_once():
     stores = Stores()
     stores.reserve("a", max_tokens=400)
     stores.reserve("a", max_tokens=400)
@@ -99,8 +99,8 @@
     assert stores.state.program_by_key[("org", "p")].spent_or_reserved() == 300
 
 
-def test_a_chain_lives_as_long_as_its_newest_turn():
-    # A caller continues a conversation again and again; its first turn is older than the retention.
+def test_a_chain_is_retained_as_long_as_its_newest_turn():
+    # A caller keeps continuing a conversation whose first turn is older than the retention.
     stores = Stores()
     stores.keep("a")
     stores.now_ms = RETENTION_MS - 1
@@ -112,7 +112,7 @@
     assert stores.state.turn_by_id == {}
 
 
-def test_a_spent_program_that_comes_back_is_still_spent():
+def test_an_exhausted_budget_is_still_exhausted_after_a_pause():
     stores = Stores()
     stores.reserve("a", max_tokens=1_000)
     stores.end("a", used=1_000)
@@ -143,9 +143,9 @@
 
 
 @given(st.lists(COMMANDS, max_size=40), st.integers(0, 40))
-def test_a_member_restored_from_a_snapshot_answers_like_the_others(commands, cut):
-    # A member that was away is sent a snapshot. If it answered one command differently from then
-    # on, a program's budget or history would depend on which member leads.
+def test_a_member_restored_from_a_snapshot_returns_the_same_results(commands, cut):
+    # A member that fell behind is restored from a snapshot. If it returned different results from
+    # then on, a program's budget or history would depend on which member leads.
     straight = Stores()
     restored = Stores()
     for number, command in enumerate(commands):
@@ -164,7 +164,7 @@
     for command in commands:
         kind, name, number = command
         if kind in ("keep", "end"):
-            # An entry never hands out more than it reserved.
+            # An entry never uses more tokens than it reserved.
             tokens = stores.state.program_by_key.get(("org", "p"))
             reserved = tokens.reserved_by_attempt.get(name, 0) if tokens is not None else 0
             command = (kind, name, min(number, reserved))
--- a/libs/state/tests/views_tests.py
+++ b/libs/state/tests/views_tests.py
@@ -1,4 +1,4 @@
-"""The view's counters, on which owners of rates rely."""
+"""The version counters of the view, which the owners of rate limits depend on."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 from tarragonhall_state._views import Views
 
 
-def test_entries_version_counts_changes_of_the_entries_alone():
-    """Were it to miss a change of the entries, two of them would grant the same organisation's
-    tokens; were it to count changes of servers, callers would wait at each.
+def test_entries_version_counts_only_changes_of_entries():
+    """If it missed a change of the entries, two entries would grant the same organisation's tokens;
+    if it counted changes of servers, callers would wait at each of them.
     """
     views = Views()
     first = EntryRecord("a", "1", "addr", "zone")
@@ -30,10 +30,10 @@
     return EntryRecord(entry_id, incarnation, address or f"addr-{entry_id}", "zone")
 
 
-def test_owners_settle_once_every_earlier_life_has_ended():
-    """All entries are killed shortly after one was added, and come back at their addresses.
+def test_owners_settle_once_every_earlier_incarnation_has_ended():
+    """All entries are killed shortly after one was added, and restart at their addresses.
 
-    Nobody who acted on the earlier choice of owners is left. Callers must not wait for leases.
+    No owner by an earlier assignment is running, so callers must not wait for leases to expire.
     """
     views = Views()
     for entry_id in "abc":
@@ -45,8 +45,8 @@
     assert views.view().settled_version == views.view().owners_version == 3
 
 
-def test_a_life_at_another_address_says_nothing_of_the_earlier_one():
-    """An entry is started elsewhere while the earlier process is only cut off. It still grants."""
+def test_an_incarnation_at_another_address_does_not_end_the_earlier_one():
+    """An entry starts elsewhere while its earlier process, behind a partition, still grants."""
     views = Views()
     views.announce_entry(_entry("a", "1"), 1)
     assert views.view().settled_version == views.view().owners_version
@@ -56,8 +56,8 @@
     assert views.view().settled_version < views.view().owners_version
 
 
-def test_an_entry_that_is_taken_out_may_still_act():
-    """A silent entry is taken out; it may be cut off only. Its word that others settled is old."""
+def test_a_removed_entry_may_still_act_as_an_owner():
+    """A removed entry may only be partitioned; settling an earlier version does not cover it."""
     views = Views()
     views.announce_entry(_entry("a", "1"), 1)
     views.announce_entry(_entry("b", "1"), 2)
@@ -71,7 +71,7 @@
 
 
 def test_an_evacuation_that_is_resent_changes_nothing():
-    """An operator's acknowledgement is lost and the order comes again, at any member."""
+    """The acknowledgement of an operator's command is lost, and the command is sent again."""
     views = Views()
     views.evacuate_zone("tx-waco", True, 1)
     epoch = views.view().epoch
@@ -84,7 +84,7 @@
 
 
 def test_the_servers_of_an_evacuated_zone_are_shown_as_draining():
-    """A sidecar of the zone that restarts announces itself as ready and must get no calls."""
+    """A sidecar that restarts in the zone announces itself as ready, but must not get calls."""
     views = Views()
     views.evacuate_zone("zone", True, 1)
     for incarnation in ("1", "2"):
