--- a/libs/model/tarragonhall_model/__init__.py
+++ b/libs/model/tarragonhall_model/__init__.py
@@ -1,4 +1,4 @@
-"""Shared ids, messages, records, errors and checks. Nothing here does input or output."""
+"""Shared ids, messages, records, errors and checks. Nothing here performs I/O."""
 
 from __future__ import annotations
 
--- a/libs/model/tarragonhall_model/_attempt_messages.py
+++ b/libs/model/tarragonhall_model/_attempt_messages.py
@@ -1,7 +1,7 @@
-"""Messages to and from sidecars: attempts, load, and orders to engines.
+"""Messages to and from sidecars: attempts, load reports and engine orders.
 
-A link carries these records both ways. A request and its reply are matched by the link itself, so
-the records carry no correlation ids. What a handler returns for a request is the reply.
+A link carries these records both ways. The link matches each reply to its request, so the records
+carry no correlation ids. The value that a handler returns for a request is the reply.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 class Dispatch:
     """Run an attempt. Reply: `Accepted` or `Rejected`; then `Chunk`s and one `AttemptEnded`.
 
-    `history` is the program's earlier model turns (empty for services). `priority` is lower for
-    more urgent work. `deadline_ms` is the time left when the message was sent.
+    `history` holds the program's earlier model turns (empty for services). A lower `priority` is
+    more urgent. `deadline_ms` is the time remaining when the message was sent.
     """
 
     attempt: AttemptId
@@ -31,16 +31,17 @@
 
 @record
 class Accepted:
-    """The attempt runs, waits in the sidecar, or has already ended and its end follows again."""
+    """The attempt is running or queued, or has ended and its `AttemptEnded` is sent again."""
 
 
 class RejectReason(enum.Enum):
-    """Why a sidecar did not take an attempt. None of these attempts will run from now on.
+    """Why a sidecar rejected an attempt. A rejected attempt will not run from now on.
 
-    All but `INCARNATION` also prove that it never ran. `INCARNATION` says that the attempt belongs
-    to another life of the sidecar, or to a part of this life that it no longer remembers: an
-    earlier message may have started it. Only a sender that recorded the attempt itself and has sent
-    its one `Dispatch` may take it as "not run"; after a resend or an `Attach` it is unknown.
+    All reasons but `INCARNATION` also prove that it never ran. `INCARNATION` means that the attempt
+    belongs to another incarnation of the sidecar, or that this incarnation no longer has a record
+    of it: an earlier message may have started it. Only a sender that recorded the attempt itself
+    and has sent its one `Dispatch` may treat it as not run; after a resend or an `Attach`, whether
+    it ran is unknown.
     """
 
     TOMBSTONE = "tombstone"
@@ -53,14 +54,14 @@
 
 @record
 class Rejected:
-    """The attempt will never run here; see `RejectReason` for what is known of the past."""
+    """The attempt will never run here; `RejectReason` says whether it may have run before."""
 
     reason: RejectReason
 
 
 @record
 class Chunk:
-    """Part of a streamed answer. `index` counts from 0; a gap means that a part was lost."""
+    """One part of a streamed answer. `index` starts at 0; a gap means that a part was lost."""
 
     attempt_key: str
     index: int
@@ -80,9 +81,10 @@
 
 @record
 class AttemptEnded:
-    """The end of an attempt. Only `NOT_RUN` proves that the backend server never saw it.
+    """The outcome of an attempt. Only `NOT_RUN` proves that the backend server never received it.
 
-    The sidecar keeps it until `AttemptAck`; unacknowledged ends it commits itself, as late answers.
+    The sidecar stores it until `AttemptAck`. It commits outcomes that stay unacknowledged itself,
+    as late answers.
     """
 
     attempt: AttemptId
@@ -93,17 +95,17 @@
 
 @record
 class AttemptAck:
-    """The end of the attempt is committed; the sidecar may forget the answer."""
+    """The outcome of the attempt is committed; the sidecar may delete the answer."""
 
     attempt: AttemptId
 
 
 @record
 class Attach:
-    """Send me what comes of an attempt that another entry dispatched.
+    """Subscribe to the chunks and outcome of an attempt that another entry dispatched.
 
-    Reply: `Accepted` where it is known; otherwise the sidecar writes a tombstone, so that it can
-    never run, and replies `Rejected`.
+    Reply: `Accepted` if the attempt is known; otherwise the sidecar writes a tombstone, so that the
+    attempt can never run, and replies `Rejected`.
     """
 
     attempt: AttemptId
@@ -111,8 +113,8 @@
 
 @record
 class CancelAttempt:
-    """Stop an attempt if it can be stopped. Reply: `Accepted` (its end follows) or `Rejected`
-    (it never ran and now never will).
+    """Stop an attempt if possible. Reply: `Accepted` (`AttemptEnded` follows) or `Rejected`
+    (it never ran and never will).
     """
 
     attempt: AttemptId
@@ -120,7 +122,7 @@
 
 @record
 class ReleaseProgram:
-    """The program has ended; free what the engine holds for it, and stop these attempts of it."""
+    """The program has ended: free its engine state and stop the attempts listed in `stop`."""
 
     program_id: str
     stop: tuple[AttemptId, ...] = ()
@@ -131,8 +133,9 @@
     """Pushed by a sidecar several times a second while its load changes.
 
     `running` and `waiting` count attempts; `slots` is how many the server runs at once.
-    `held_programs` are programs whose prefix the engine says it holds, most recent first, bounded.
-    `ms_per_token` is the mean lately; `engine_age_ms` says how old the engine's own report is.
+    `held_programs` lists the programs whose prefix the engine reports as cached, most recent first,
+    up to a limit. `ms_per_token` is a recent mean; `engine_age_ms` is the age of the engine's own
+    report.
     """
 
     server_id: str
@@ -149,11 +152,11 @@
 
 @record
 class EngineOrder:
-    """Change what an engine has loaded or its role. Reply: `OrderDone`.
+    """Change the models loaded by an engine, or its role. Reply: `OrderDone`.
 
-    `fencing` is the leader's number; lower ones than the highest seen are refused by the sidecar,
-    and by engines that check it. `action` is `load_model`, `load_adapter`, `unload` or `role`.
-    `server_id` may be empty where the process stands beside one backend server only.
+    `fencing` is the leader's fencing token; the sidecar, and engines that check it, reject tokens
+    below the highest seen. `action` is `load_model`, `load_adapter`, `unload` or `role`.
+    `server_id` may be empty if the process has only one backend server.
     """
 
     order_id: str
@@ -166,7 +169,7 @@
 
 @record
 class OrderDone:
-    """The outcome of an order."""
+    """The outcome of an engine order."""
 
     order_id: str
     done: bool
--- a/libs/model/tarragonhall_model/_calls.py
+++ b/libs/model/tarragonhall_model/_calls.py
@@ -1,4 +1,4 @@
-"""A program's calls: what a caller asks for, and what becomes of it."""
+"""The calls of a program, their answers and refusals, and program budgets."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Execution(enum.Enum):
-    """What is known of whether a refused call ran."""
+    """Whether a refused call ran, as far as known."""
 
     NOT_RUN = "not_run"
     COMPLETED = "completed"
@@ -45,7 +45,7 @@
 
 @record
 class Refusal:
-    """Why something was not done, and whether it ran all the same."""
+    """Why a call or request was refused, and whether it may have run nevertheless."""
 
     code: RefusalCode
     message: str
@@ -55,10 +55,10 @@
 
 @record
 class CallSpec:
-    """One call as its caller stated it.
+    """One call as its caller specified it.
 
     `body` is the prompt of a model call or the JSON text of a service call. `target` names a model
-    or a service. `timeout_ms` counts from the arrival at an entry.
+    or a service. `timeout_ms` starts when the call arrives at an entry.
     """
 
     seq: int
@@ -73,7 +73,7 @@
 
 @record
 class Usage:
-    """Tokens of one call: `prompt` includes `cached`, the part that a prefix cache held."""
+    """Tokens of one call: `prompt` includes `cached`, the part found in a prefix cache."""
 
     prompt: int = 0
     cached: int = 0
@@ -82,7 +82,7 @@
 
 @record
 class Answer:
-    """The whole answer of a backend server to one call; `status` is a service's HTTP status."""
+    """The complete answer of a backend server to a call; `status` is a service's HTTP status."""
 
     text: str
     usage: Usage = Usage()
@@ -99,10 +99,10 @@
 
 @record
 class Budget:
-    """What a program and its sub-agents together may use.
+    """The limits that a program shares with its sub-agents.
 
-    `tokens` counts generated tokens, `calls` every call that was dispatched, `seconds` the wall
-    time since the root program was opened.
+    `tokens` limits generated tokens, `calls` the calls dispatched, and `seconds` the wall time
+    since the root program was opened.
     """
 
     tokens: int = 100_000
@@ -112,7 +112,7 @@
 
 @record
 class Spent:
-    """Part of a budget that is used up (`tokens`, `calls`) or reserved by open calls."""
+    """The part of a budget that is used (`tokens`, `calls`) or reserved by open calls."""
 
     tokens: int = 0
     calls: int = 0
@@ -121,7 +121,7 @@
 
 
 class ProgramStatus(enum.Enum):
-    """The life of a program; all but `OPEN` are final."""
+    """The state of a program; all states but `OPEN` are final."""
 
     OPEN = "open"
     FINISHED = "finished"
@@ -131,10 +131,10 @@
 
 @record
 class AttemptId:
-    """Names one try at running a call on one life of one backend server.
+    """Identifies one attempt to run a call on one incarnation of a backend server.
 
-    `incarnation` changes each time the sidecar of that server starts: a later life knows nothing of
-    the attempts of an earlier one and must not run them.
+    `incarnation` changes each time the sidecar of that server starts: a new incarnation has no
+    record of earlier attempts and must not run them.
     """
 
     program_id: str
@@ -145,5 +145,5 @@
 
     @property
     def key(self) -> str:
-        """Return the text form used as a map key and on the engine's protocol."""
+        """Return the text form used as a map key and in the engine protocol."""
         return f"{self.program_id}/{self.seq}/{self.number}"
--- a/libs/model/tarragonhall_model/_codec.py
+++ b/libs/model/tarragonhall_model/_codec.py
@@ -1,8 +1,9 @@
 """CBOR encoding of the project's data classes, driven by their type hints.
 
-A record travels as the array `[type name, {field: value}]`. Unknown fields are ignored and missing
-ones take their default, so that two versions can talk during a rolling upgrade. Only classes
-marked with `@record` can be decoded: a peer cannot make this process build anything else.
+A record is encoded as the array `[type name, {field: value}]`. Unknown fields are ignored and
+missing ones take their default, so that two versions interoperate during a rolling upgrade. Only
+classes marked with `@record` or `@mutable_record` can be decoded: a peer cannot make this process
+instantiate anything else.
 """
 
 from __future__ import annotations
@@ -25,25 +26,25 @@
 
 
 def record(cls: type[T]) -> type[T]:
-    """Make a class a frozen slotted data class that the codec can encode and decode."""
-    return _registered(dataclasses.dataclass(slots=True, frozen=True)(cls))
+    """Turn a class into a frozen slotted data class that the codec can encode and decode."""
+    return _register(dataclasses.dataclass(slots=True, frozen=True)(cls))
 
 
 def mutable_record(cls: type[T]) -> type[T]:
-    """Make a class a slotted data class that can change, and that a snapshot can hold."""
-    return _registered(dataclasses.dataclass(slots=True)(cls))
+    """Turn a class into a mutable slotted data class that can be stored in snapshots."""
+    return _register(dataclasses.dataclass(slots=True)(cls))
 
 
-def _registered(made: type[T]) -> type[T]:
-    if made.__name__ in _class_by_name:
-        raise ValueError(f"two records are named {made.__name__}")
-    _class_by_name[made.__name__] = made
-    return made
+def _register(cls: type[T]) -> type[T]:
+    if cls.__name__ in _class_by_name:
+        raise ValueError(f"duplicate record name {cls.__name__}")
+    _class_by_name[cls.__name__] = cls
+    return cls
 
 
 def encode(value: Any) -> bytes:
-    """Encode a record, or a plain value made of records, lists, maps and scalars."""
-    # Scalars, lists and maps stay in the library's own code; only records come back to Python.
+    """Encode a record, or a plain value of records, lists, maps and scalars."""
+    # The library encodes scalars, lists and maps in native code; only records call back to Python.
     return cbor2.dumps(value, default=_encode_record)
 
 
@@ -67,7 +68,7 @@
 
 
 def to_plain(value: Any) -> Any:
-    """Turn a record into nested lists, maps and scalars."""
+    """Convert a record to nested lists, maps and scalars."""
     if isinstance(value, enum.Enum):
         return value.value
     if value is None or isinstance(value, (str, bytes, int, float, bool)):
@@ -83,7 +84,7 @@
 
 
 def from_plain(plain: Any) -> Any:
-    """Turn what `to_plain` made of a record back into that record."""
+    """Rebuild a record from the output of `to_plain`; raise `CodecError` for anything else."""
     if not isinstance(plain, list) or len(plain) != 2 or not isinstance(plain[1], dict):
         raise CodecError("expected a record as [name, fields]")
     cls = _class_by_name.get(plain[0]) if isinstance(plain[0], str) else None
@@ -113,8 +114,8 @@
         return _union_decoder(hint)
     if origin in (list, tuple):
         item = _decoder(typing.get_args(hint)[0])
-        made = list if origin is list else tuple
-        return lambda value: made(item(part) for part in value)
+        container = list if origin is list else tuple
+        return lambda value: container(item(part) for part in value)
     if origin is dict:
         item = _decoder(typing.get_args(hint)[1])
         return lambda value: {key: item(part) for key, part in value.items()}
@@ -123,11 +124,11 @@
     if dataclasses.is_dataclass(hint):
         return from_plain
     if hint in (str, int, bytes, bool):
-        return _exactly(hint)
+        return _type_checker(hint)
     if hint is float:
         return float
     if hint is object:
-        return _any_record
+        return _decode_any
     return lambda value: value
 
 
@@ -140,16 +141,16 @@
     return lambda value: None if value is None else inner(value)
 
 
-def _any_record(value: Any) -> Any:
-    """Decode a field declared as `object`: a record of any kind, a list of them, or a scalar."""
+def _decode_any(value: Any) -> Any:
+    """Decode a field declared as `object`: a record of any class, a list of them, or a scalar."""
     if isinstance(value, list) and len(value) == 2 and isinstance(value[1], dict):
         return from_plain(value)
     if isinstance(value, list):
-        return [_any_record(item) for item in value]
+        return [_decode_any(item) for item in value]
     return value
 
 
-def _exactly(expected: type) -> Callable[[Any], Any]:
+def _type_checker(expected: type) -> Callable[[Any], Any]:
     def check(value: Any) -> Any:
         if not isinstance(value, expected):
             raise CodecError(f"expected {expected.__name__}, got {type(value).__name__}")
--- a/libs/model/tarragonhall_model/_commands.py
+++ b/libs/model/tarragonhall_model/_commands.py
@@ -1,8 +1,8 @@
-"""Commands that entries, sidecars and the leader put in the replicated log, and their results.
+"""Commands that entries, sidecars and the leader append to the replicated log, and their results.
 
-Every command is applied on each control member in log order and must give the same result there:
-it carries the leader's clock (`Command.at_ms`) and every id it needs. Commands of operators, which
-only the control role proposes, are declared beside the settings tree in the `state` library.
+Each control member applies every command in log order and must get the same result, so a command
+carries the leader's clock (`Command.at_ms`) and every id it needs. Operator commands, which only
+the control role proposes, are declared beside the settings tree in the `state` library.
 """
 
 from __future__ import annotations
@@ -27,8 +27,8 @@
 class OpenProgram:
     """Open a program for an organisation.
 
-    A resend with the same `idempotency_key` and the same content gives the program opened first.
-    A child (`parent` set) draws on the budget of its root. Result: `ProgramInfo` or `Refusal`.
+    A resend with the same `idempotency_key` and the same content returns the program opened first.
+    A child (`parent` set) uses the budget of its root. Result: `ProgramInfo` or `Refusal`.
     """
 
     program_id: str
@@ -42,19 +42,19 @@
 
 @record
 class OpenCall:
-    """Open a call: it is in order, its reservation fits the budget and it is not a repeat.
+    """Open a call if it is in order, its reservation fits the budget and it is not a repeat.
 
-    Result: `CallOpened` (run it), `CallRunning` (it is under way), `CallClosed` (here is what
-    became of it) or `Refusal`. `seq` starts at 1; a call opens only once `seq - 1` is closed.
+    Result: `CallOpened` (run it), `CallRunning` (it is in flight), `CallClosed` (its answer or
+    refusal) or `Refusal`. `seq` starts at 1; a call opens only once `seq - 1` is closed.
 
-    `lost_attempt` is the live attempt of a call that may be repeated, where the sender found that
-    its end cannot be known any more; the call is then open to a further attempt.
+    `lost_attempt` is the live attempt of a repeatable call whose outcome the sender found can no
+    longer be determined; the call may then get a further attempt.
 
-    With `take_over` the call passes to the sender although the entry that holds it lives: it may
-    have given up without being able to say so.
+    With `take_over` the call passes to the sender although the entry that owns it is alive: that
+    entry may have abandoned the call without being able to report it.
 
     `first_attempt` is recorded together with a call that opens for the first time, as by
-    `StartAttempt`; the result's `started` says so. It saves a commit on the way of most calls.
+    `StartAttempt`, and the result then has `started` set. This saves a commit for most calls.
     """
 
     program_id: str
@@ -70,9 +70,9 @@
 class StartAttempt:
     """Record, before the dispatch, that this attempt may run from now on.
 
-    `number` must be one more than the attempts already recorded. A call that must not be repeated
-    gets a further attempt only once each earlier one was disproved. Result: `AttemptRecorded`,
-    `CallRunning` (another entry was faster), `CallClosed` or `Refusal`.
+    `number` must be one more than the number of attempts already recorded. A call that must not be
+    repeated gets a further attempt only once each earlier one was disproved. Result:
+    `AttemptRecorded`, `CallRunning` (another entry was faster), `CallClosed` or `Refusal`.
     """
 
     attempt: AttemptId
@@ -92,10 +92,10 @@
 
 @record
 class CloseCall:
-    """Record what became of a call: an answer, or a refusal that is final for this `seq`.
+    """Record the result of a call: an answer, or a refusal that is final for this `seq`.
 
-    The first answer wins, and an answer replaces an earlier `unknown` refusal: it arrived late.
-    Result: `CallClosed` or `Refusal`.
+    The first answer wins. A late answer replaces an earlier `unknown` refusal. Result: `CallClosed`
+    or `Refusal`.
     """
 
     attempt: AttemptId
@@ -105,10 +105,10 @@
 
 @record
 class AbandonCall:
-    """Give up an open call no attempt of which can have run; the caller may send `seq` again.
+    """Abandon an open call none of whose attempts can have run; the caller may resend `seq`.
 
-    Result: `CallAbandoned`, or what an attempt made of the call meanwhile (`CallRunning`,
-    `CallClosed`), or `Refusal`.
+    Result: `CallAbandoned`, `CallRunning` or `CallClosed` if an attempt changed the call meanwhile,
+    or `Refusal`.
     """
 
     program_id: str
@@ -128,7 +128,7 @@
 
 @record
 class ExpirePrograms:
-    """End programs that were idle for too long or outlived their budget of time.
+    """End programs that exceeded their idle time or the `seconds` of their budget.
 
     Proposed by the leader about once a second. Result: `ProgramsExpired`.
     """
@@ -138,7 +138,8 @@
 class ReportCrash:
     """A backend server crashed while these attempts ran on it.
 
-    `fingerprints` are `model.fingerprint(organisation, target, body)` of each. Result: `Recorded`.
+    `fingerprints` holds `model.fingerprint(organisation, target, body)` of each. Result:
+    `Recorded`.
     """
 
     server_id: str
@@ -149,16 +150,16 @@
 
 @record
 class AnnounceEntry:
-    """Put an entry into the view, replacing an earlier life of it. Result: `Recorded`."""
+    """Add an entry to the view, replacing its earlier incarnation. Result: `Recorded`."""
 
     entry: EntryRecord
 
 
 @record
 class RemoveEntry:
-    """Take one life of an entry out of the view. Result: `Recorded`.
+    """Remove one incarnation of an entry from the view. Result: `Recorded`.
 
-    `stopped` says that it was silent for longer than it may own rates without being heard.
+    `stopped` means that its last contact is longer ago than an entry may own rates without contact.
     """
 
     entry_id: str
@@ -168,21 +169,21 @@
 
 @record
 class SettleOwners:
-    """Note that owners before this `owners_version` have stopped. Result: `Recorded`."""
+    """Record that owners before this `owners_version` have stopped. Result: `Recorded`."""
 
     owners_version: int
 
 
 @record
 class AnnounceStore:
-    """Put a store member into the view, replacing an earlier life. Result: `Recorded`."""
+    """Add a store member to the view, replacing its earlier incarnation. Result: `Recorded`."""
 
     store: StoreRecord
 
 
 @record
 class RemoveStore:
-    """Take one life of a store member out of the view. Result: `Recorded`."""
+    """Remove one incarnation of a store member from the view. Result: `Recorded`."""
 
     store_id: str
     incarnation: str
@@ -190,14 +191,14 @@
 
 @record
 class AnnounceServer:
-    """Put a backend server into the view, replacing an earlier life. Result: `Recorded`."""
+    """Add a backend server to the view, replacing its earlier incarnation. Result: `Recorded`."""
 
     server: ServerRecord
 
 
 @record
 class RemoveServer:
-    """Take one life of a backend server out of the view. Result: `Recorded`."""
+    """Remove one incarnation of a backend server from the view. Result: `Recorded`."""
 
     server_id: str
     incarnation: str
@@ -205,7 +206,7 @@
 
 @record
 class DrainServer:
-    """Start or end the drain of a backend server by operators. Result: `Recorded`."""
+    """Start or end an operator's drain of a backend server. Result: `Recorded`."""
 
     server_id: str
     draining: bool
@@ -213,9 +214,9 @@
 
 @record
 class EvacuateZone:
-    """Start or end the evacuation of an availability zone by operators. Result: `Recorded`.
+    """Start or end an operator's evacuation of an availability zone. Result: `Recorded`.
 
-    Repeating it is harmless; of opposite orders the one that comes later in the log holds.
+    Idempotent; of opposite commands the later one in the log takes effect.
     """
 
     availability_zone: str
@@ -224,7 +225,7 @@
 
 @record
 class Command:
-    """One entry of the log: a command, the leader's clock and the id its resends share."""
+    """One log entry: a command, the leader's clock and the request id shared by its resends."""
 
     request_id: str
     at_ms: int
@@ -233,14 +234,14 @@
 
 @record
 class Recorded:
-    """The command took effect, at this revision of the settings or epoch of the view."""
+    """The command took effect at this settings revision or view epoch."""
 
     revision: int = 0
 
 
 @record
 class ProgramInfo:
-    """A program as its owner may see it."""
+    """The state of a program that is shown to its owner."""
 
     program_id: str
     root_id: str
@@ -256,11 +257,11 @@
 
 @record
 class CallOpened:
-    """The call is open and no live attempt of it is known; `attempts` were recorded so far.
+    """The call is open without a known live attempt; `attempts` were recorded so far.
 
     `history` holds the earlier model calls of the program, oldest first. `prefix_server` is the
-    backend server that ran the last of them and may still hold their prefix. `started` says that
-    the `first_attempt` of the command was recorded and may be dispatched.
+    backend server that ran the last of them and may still have their prefix cached. `started` means
+    that the `first_attempt` of the command was recorded and may be dispatched.
     """
 
     attempts: int
@@ -272,7 +273,7 @@
 
 @record
 class CallRunning:
-    """The call is open. `attempt` is the live attempt; without one, `entry_id` still holds it."""
+    """The call is open. `attempt` is the live attempt; without one, `entry_id` still owns it."""
 
     entry_id: str
     attempt: AttemptId | None = None
--- a/libs/model/tarragonhall_model/_control_messages.py
+++ b/libs/model/tarragonhall_model/_control_messages.py
@@ -1,7 +1,7 @@
 """Messages between any process and the control members.
 
-A link carries these records both ways. A request and its reply are matched by the link itself, so
-the records carry no correlation ids. What a handler returns for a request is the reply.
+A link carries these records both ways. The link matches each reply to its request, so the records
+carry no correlation ids. The value that a handler returns for a request is the reply.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 class Propose:
     """Ask the leader to commit a command. Reply: `Proposed`, `NotLeader` or `Busy`.
 
-    A resend with the same `request_id` gives the result of the first.
+    A resend with the same `request_id` returns the first result.
     """
 
     request_id: str
@@ -28,17 +28,17 @@
 
 @record
 class Proposed:
-    """The command was committed on a synced majority; `result` is the state machine's result."""
+    """The command is committed, synced by a majority; `result` is the state machine's result."""
 
     result: object
 
 
 @record
 class NotLeader:
-    """The member asked is not the leader, or lost the lead before the commit was known.
+    """The member is not the leader, or lost leadership before the commit was confirmed.
 
-    Whether the command will commit is unknown; the sender repeats it under the same request id.
-    `leader` is the link address of the leader, where it is known.
+    Whether the command will commit is unknown; the sender resends it under the same request id.
+    `leader` is the link address of the leader, if known.
     """
 
     leader: str | None = None
@@ -46,15 +46,15 @@
 
 @record
 class Busy:
-    """The member cannot take more; the command was not put in the log."""
+    """The member is overloaded; the command was not appended to the log."""
 
     retry_after_ms: int
 
 
 @record
 class QueryCall:
-    """Ask for the state of one call. Reply: `CallOpened`, `CallRunning`, `CallClosed`, `Refusal`,
-    `NotLeader`. The answer is linearizable.
+    """Query the state of one call. Reply: `CallOpened`, `CallRunning`, `CallClosed`, `Refusal`
+    or `NotLeader`. The read is linearizable.
     """
 
     program_id: str
@@ -64,8 +64,8 @@
 
 @record
 class QueryExecution:
-    """Ask whether a call may have run, for a caller whose organisation is not known. Reply:
-    `ExecutionKnown` or `NotLeader`. The answer is linearizable, and tells nothing else of the call.
+    """Query whether a call may have run, for a caller whose organisation is not known. Reply:
+    `ExecutionKnown` or `NotLeader`. The read is linearizable and reveals nothing else of the call.
     """
 
     program_id: str
@@ -74,8 +74,8 @@
 
 @record
 class ExecutionKnown:
-    """What the journal knows of a call: `NOT_RUN` where it never ran and nothing can still run it,
-    else `UNKNOWN`.
+    """The execution of a call according to the journal: `NOT_RUN` if it never ran and cannot run
+    any more, else `UNKNOWN`.
     """
 
     execution: Execution
@@ -83,7 +83,7 @@
 
 @record
 class QueryProgram:
-    """Ask for a program and its history. Reply: `ProgramReport`, `Refusal` or `NotLeader`."""
+    """Query a program and its history. Reply: `ProgramReport`, `Refusal` or `NotLeader`."""
 
     program_id: str
     org_id: str
@@ -111,28 +111,28 @@
 
 @record
 class QueryLiving:
-    """Ask which of these programs are still open. Reply: `Living` or `NotLeader`."""
+    """Query which of these programs are still open. Reply: `Living` or `NotLeader`."""
 
     program_ids: list[str]
 
 
 @record
 class Living:
-    """Those of the programs asked for that are open."""
+    """The programs of the request that are open."""
 
     program_ids: list[str]
 
 
 @record
 class QueryQuarantine:
-    """Ask whether a request is quarantined. Reply: `Quarantined` or `NotLeader`."""
+    """Query whether a call's fingerprint is quarantined. Reply: `Quarantined` or `NotLeader`."""
 
     fingerprint: str
 
 
 @record
 class Quarantined:
-    """Whether the request is quarantined, and how many crashes it is charged with."""
+    """Whether the fingerprint is quarantined, and how many crashes are attributed to it."""
 
     quarantined: bool
     crashes: int
@@ -140,10 +140,10 @@
 
 @record
 class NodeLoad:
-    """What the leader needs to decide which engine loads which model.
+    """Load from which the leader decides which engine loads which model.
 
-    An entry gives how long the oldest waiting call of each target has waited, in seconds; a sidecar
-    gives the share of its server's slots in use.
+    An entry reports how long the oldest waiting call of each target has waited, in seconds; a
+    sidecar reports the share of its server's slots in use.
     """
 
     waiting_s_by_target: dict[str, float] = field(default_factory=dict)
@@ -152,12 +152,13 @@
 
 @record
 class Heartbeat:
-    """Sent to the leader about once a second by every entry and sidecar. Reply: `Fresh`,
+    """Sent to the leader about once a second by every entry, sidecar and store. Reply: `Fresh` or
     `NotLeader`.
 
-    It announces the sender (`node`), and asks for news since the revision and epoch it has.
-    `relay_version` is that of the relay document it has; None for a process that takes none.
-    `settled_owners` is the `owners_version` whose earlier owners it has waited out, 0 for none.
+    It announces the sender (`node`) and requests changes since its settings revision and view
+    epoch. `relay_version` is the version of its relay document; None for a process without one.
+    `settled_owners` is the `owners_version` whose earlier owners must have stopped by now, because
+    the sender waited long enough; 0 for none.
     """
 
     node: EntryRecord | ServerRecord | StoreRecord
@@ -172,10 +173,10 @@
 class Fresh:
     """A majority confirmed, after the heartbeat arrived, that this leader is still the leader.
 
-    The receiver counts freshness from the instant *it sent* the heartbeat, on its own monotonic
+    The receiver measures freshness from the instant *it sent* the heartbeat, on its own monotonic
     clock, so that neither clock differences nor a slow reply can make old settings look fresh.
-    `policy`, `view` and `relay` are set where the sender lags behind; `view_delta` in place of
-    `view` where what it holds is known. `controls` are the link addresses of all control members.
+    `policy`, `view` and `relay` are set if the receiver is behind; `view_delta` replaces `view` if
+    the receiver's view is known. `controls` are the link addresses of all control members.
     """
 
     settings_revision: int
@@ -190,7 +191,7 @@
 
 @record
 class News:
-    """Pushed by the leader when settings or view change, ahead of the next heartbeat."""
+    """Update pushed by the leader when settings or view change, before the next heartbeat."""
 
     policy: PolicyDelta | None = None
     view: View | None = None
@@ -200,6 +201,6 @@
 
 @record
 class Leaving:
-    """The sender is shutting down and wants to leave the view. Reply: `Proposed`, `NotLeader`."""
+    """The sender shuts down and is to leave the view. Reply: `Proposed` or `NotLeader`."""
 
     node: EntryRecord | ServerRecord | StoreRecord
--- a/libs/model/tarragonhall_model/_errors.py
+++ b/libs/model/tarragonhall_model/_errors.py
@@ -1,4 +1,4 @@
-"""The exception tree. Every error the project raises on purpose descends from one base."""
+"""The exception hierarchy. Every error that the project raises on purpose has one base class."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class TarragonhallError(Exception):
-    """Base of all errors raised on purpose; shown to users without a traceback."""
+    """Base class of all errors raised on purpose; shown to users without a traceback."""
 
 
 class InputError(TarragonhallError):
-    """Input that was checked and found wrong; carries every finding at once."""
+    """Invalid input, with every finding at once."""
 
     def __init__(self, findings: list[Finding]) -> None:
         super().__init__("\n".join(str(finding) for finding in findings))
@@ -18,7 +18,7 @@
 
 
 class CodecError(TarragonhallError):
-    """Bytes from a link, a log or a snapshot that do not decode to a known record."""
+    """Data from a link, a log or a snapshot does not decode to a known record."""
 
 
 class LinkError(TarragonhallError):
@@ -38,4 +38,4 @@
 
 
 class StorageError(TarragonhallError):
-    """The data folder cannot be used: disk full, failed sync, corruption or a second process."""
+    """The data folder is unusable: disk full, failed sync, corruption or use by another process."""
--- a/libs/model/tarragonhall_model/_findings.py
+++ b/libs/model/tarragonhall_model/_findings.py
@@ -1,4 +1,4 @@
-"""Findings about input, collected with their places and reported together."""
+"""Findings about input, collected with their locations and reported together."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Finding:
-    """One thing wrong with some input: `place` is a JSON pointer or `file:line`."""
+    """One problem in some input: `place` is a JSON pointer or `file:line`."""
 
     place: str
     message: str
@@ -19,7 +19,7 @@
 
 
 def unknown_name(place: str, name: str, known: Iterable[str]) -> Finding:
-    """Return the finding for a name that does not exist, with the nearest known one."""
-    near = difflib.get_close_matches(name, list(known), n=1, cutoff=0.5)
-    hint = f"; did you mean {near[0]!r}?" if near else ""
+    """Return the finding for an unknown name, with the closest known one as a hint."""
+    matches = difflib.get_close_matches(name, list(known), n=1, cutoff=0.5)
+    hint = f"; did you mean {matches[0]!r}?" if matches else ""
     return Finding(place, f"unknown name {name!r}{hint}")
--- a/libs/model/tarragonhall_model/_ids.py
+++ b/libs/model/tarragonhall_model/_ids.py
@@ -1,4 +1,4 @@
-"""Identifiers: how they are made, and how work is spread by them."""
+"""Identifiers, secrets and stable hashes that distribute work."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def new_id(kind: str, rng: random.Random) -> str:
-    """Return a new id such as `prog-1f…`; 96 bits make a clash negligible."""
+    """Return a new id such as `prog-1f…`; with 96 random bits, collisions are negligible."""
     return f"{kind}-{rng.getrandbits(ID_BITS):024x}"
 
 
@@ -23,15 +23,15 @@
 
 
 def secret_hash(secret: str) -> str:
-    """Return the only form in which a key or token is stored or compared: SHA-256 in hex.
+    """Return the SHA-256 of a key or token in hex, the only form that is stored or compared.
 
-    A fast hash is safe here because the secret has 256 random bits; nothing can be guessed.
+    A fast hash is safe here because the secret has 256 random bits and cannot be guessed.
     """
     return hashlib.sha256(secret.encode()).hexdigest()
 
 
 def fingerprint(*parts: str | bytes) -> str:
-    """Return a stable hash over the parts, each length-prefixed so that no two lists collide."""
+    """Return a stable hash over the parts; length prefixes keep different lists distinct."""
     digest = hashlib.sha256()
     for part in parts:
         data = part.encode() if isinstance(part, str) else part
@@ -46,7 +46,10 @@
 
 
 def rendezvous(key: str, candidates: list[str]) -> str | None:
-    """Return the candidate with the highest hash for the key: stable when others come and go."""
+    """Return the candidate chosen by rendezvous hashing; None without candidates.
+
+    The choice is stable when other candidates are added or removed.
+    """
     if not candidates:
         return None
     return max(candidates, key=lambda candidate: (fingerprint(key, candidate), candidate))
--- a/libs/model/tarragonhall_model/_json.py
+++ b/libs/model/tarragonhall_model/_json.py
@@ -1,4 +1,4 @@
-"""JSON that people and other systems send, read without losing any of it."""
+"""Parsing of JSON from users and other systems without silent loss of data."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 
 
 def parse_json(data: str | bytes, place: str = "") -> Any:
-    """Return a JSON value; raise `InputError` at `place` where it is malformed.
+    """Return a JSON value; raise `InputError` at `place` if it is malformed.
 
-    An object that names a thing twice is malformed too: the plain parser keeps the last of the two,
-    and half of what was sent would be lost without a word.
+    Objects with duplicate names are rejected too: the standard parser keeps only the last of them
+    and would silently drop the other values.
     """
     try:
-        return json.loads(data, object_pairs_hook=_refuse_doubled)
+        return json.loads(data, object_pairs_hook=_reject_duplicates)
     except (ValueError, RecursionError) as error:
         raise InputError([Finding(place, f"malformed JSON: {error}")]) from error
 
 
-def _refuse_doubled(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
-    made: dict[str, Any] = {}
+def _reject_duplicates(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+    result: dict[str, Any] = {}
     for name, value in pairs:
-        if name in made:
+        if name in result:
             raise ValueError(f"the name {name!r} stands twice in one object")
-        made[name] = value
-    return made
+        result[name] = value
+    return result
--- a/libs/model/tarragonhall_model/_lazy.py
+++ b/libs/model/tarragonhall_model/_lazy.py
@@ -1,7 +1,7 @@
-"""Packages that import a module when one of its names is first used.
+"""Package exports whose modules are imported on first use.
 
-A process that was killed serves nobody until it has read its modules, on a fraction of a core; it
-reads those that its role needs.
+A restarted process cannot serve requests until its modules are imported, which takes long on a
+fraction of a core, so it imports only those that its role needs.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 def lazy_exports(package: str, names_by_module: dict[str, tuple[str, ...]]) -> Callable:
-    """Return the `__getattr__` of a package that exports names of its private modules."""
+    """Return a `__getattr__` for a package that exports names of its private modules."""
     module_by_name = {name: module for module, names in names_by_module.items() for name in names}
 
     def load(name: str) -> object:
--- a/libs/model/tarragonhall_model/_options.py
+++ b/libs/model/tarragonhall_model/_options.py
@@ -1,7 +1,7 @@
 """Declared options: each checks its own value, and a group reports all findings at once.
 
-A settings file is one `Group` of options, nested. `Group.load` never stops at the first problem:
-an operator who fixes a file sees every finding, each with its JSON pointer, in one run.
+A settings file is one `Group` of options, possibly nested. `Group.load` never stops at the first
+problem, so that an operator sees every finding, each with its JSON pointer, in one run.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Address:
-    """`host:port`, where the host is an IP number or `localhost`."""
+    """An address `host:port`, where the host is an IP address or `localhost`."""
 
     default: Any = REQUIRED
 
@@ -61,7 +61,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Whole:
-    """A whole number within bounds."""
+    """An integer within bounds."""
 
     default: Any = REQUIRED
     minimum: int = 0
@@ -120,7 +120,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Choice:
-    """One of a few words; `made` turns the word into the value that the code uses."""
+    """One of a fixed set of words; `made` converts the word to the value that the code uses."""
 
     words: tuple[str, ...]
     default: Any = REQUIRED
@@ -141,7 +141,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ListOf:
-    """A list whose items are all of one kind."""
+    """A list whose items are all loaded by one option, with at least `at_least` of them."""
 
     item: Any
     default: Any = REQUIRED
@@ -167,7 +167,7 @@
 
 @dataclass(slots=True, frozen=True)
 class MapOf:
-    """An object with free names whose values are all of one kind."""
+    """An object with arbitrary names whose values are all loaded by one option."""
 
     item: Any
     default: Any = REQUIRED
@@ -189,9 +189,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Group:
-    """An object with declared names; `made` builds the typed settings from them.
+    """An object with declared names; `made` builds the typed settings from their values.
 
-    `check` looks at the built settings as a whole, for what no option can see alone.
+    `check` validates the built settings as a whole, for rules that involve several options.
     """
 
     made: Callable[..., Any]
@@ -200,7 +200,7 @@
     check: Callable[[Any, str], Iterable[Finding]] = field(default=lambda _made, _place: ())
 
     def load(self, value: object, place: str = "") -> Loaded:
-        """Check every option, then the whole."""
+        """Check every option, then the group as a whole."""
         if not isinstance(value, dict):
             return _expected(place, "an object", value)
         findings = [
@@ -210,18 +210,18 @@
         ]
         loaded = {}
         for name, option in self.options.items():
-            here = f"{place}/{name}"
+            pointer = f"{place}/{name}"
             if name not in value:
                 if option.default is REQUIRED:
-                    findings.append(Finding(here, "is required"))
+                    findings.append(Finding(pointer, "is required"))
                 loaded[name] = option.default
                 continue
-            loaded[name], found = option.load(value[name], here)
+            loaded[name], found = option.load(value[name], pointer)
             findings.extend(found)
         if findings:
             return None, findings
-        made = self.made(**loaded)
-        return made, list(self.check(made, place))
+        settings = self.made(**loaded)
+        return settings, list(self.check(settings, place))
 
     def schema(self) -> dict:
         """Return the JSON Schema of the group."""
--- a/libs/model/tarragonhall_model/_policy.py
+++ b/libs/model/tarragonhall_model/_policy.py
@@ -1,4 +1,4 @@
-"""What is in force: the resolved settings that entries and sidecars act on."""
+"""Resolved settings that entries and sidecars apply, and the view of the system's members."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @record
 class Rate:
-    """Calls a second and burst of one organisation over all entries together."""
+    """Calls per second and burst of one organisation over all entries together."""
 
     per_second: float = 10.0
     burst: float = 20.0
@@ -19,7 +19,7 @@
 
 @record
 class OrganisationPolicy:
-    """All that is in force for one organisation, with inheritance already resolved."""
+    """The effective settings of one organisation, with inheritance already resolved."""
 
     org_id: str
     path: str
@@ -32,7 +32,7 @@
 
 @record
 class KeyPolicy:
-    """One caller key, by its hash. Absent or withdrawn keys are refused."""
+    """One caller key, by its hash. Unknown or revoked keys are rejected."""
 
     key_hash: str
     org_id: str
@@ -41,7 +41,7 @@
 
 @record
 class ModelPolicy:
-    """One model and the version in force for it."""
+    """One model and its version in force."""
 
     name: str
     version: str
@@ -51,11 +51,11 @@
 
 @record
 class PolicyDelta:
-    """Changes that lead from one settings revision to another.
+    """Changes between two settings revisions.
 
-    With `full` set, the lists hold everything and replace what the receiver had; `base` is then
-    ignored. Removed entries are named by id, hash or model name. With `models_only`, organisations
-    and keys were left out, for a receiver that admits nobody.
+    With `full` set, the lists are complete and replace those of the receiver; `base` is then
+    ignored. Removed items are identified by id, hash or model name. With `models_only`,
+    organisations and keys are omitted, for a receiver that authenticates no callers.
     """
 
     base: int
@@ -71,7 +71,7 @@
 
 
 class ServerKind(enum.Enum):
-    """What a backend server is: a model engine or a plain service."""
+    """Whether a backend server is a model engine or a plain service."""
 
     MODEL = "model"
     SERVICE = "service"
@@ -79,9 +79,10 @@
 
 @record
 class ServerRecord:
-    """A backend server as its sidecar announced it. `serves` names models or services.
+    """A backend server as announced by its sidecar. `serves` names models or services.
 
-    `loaded` maps what the engine itself says it has loaded to the version; services leave it empty.
+    `loaded` maps the models that the engine reports as loaded to their versions; it is empty for
+    services.
     """
 
     server_id: str
@@ -97,7 +98,7 @@
 
 @record
 class EntryRecord:
-    """An entry process as it announced itself; `address` is where its peers' links reach it."""
+    """An entry process as it announced itself; `address` is its link address."""
 
     entry_id: str
     incarnation: str
@@ -107,10 +108,10 @@
 
 @record
 class StoreRecord:
-    """A store member as it announced itself; `address` is where links reach it.
+    """A store member as it announced itself; `address` is its link address.
 
-    `fresh` says that its data folder was empty when it started for the first time together with
-    the whole deployment: only such members may found the group.
+    `fresh` means that its data folder was empty at the first start of the whole deployment: only
+    such members may bootstrap the group.
     """
 
     store_id: str
@@ -122,18 +123,18 @@
 
 @record
 class View:
-    """The members of the system in one epoch. Each change of membership raises the epoch by one.
+    """The members of the system in one epoch. Each membership change increments the epoch.
 
-    `changed_at_ms` is the leader's clock when this epoch was committed; it is for display only.
-    `entries_version` grows by one with each change of the entries alone: a process that missed
-    views can tell whether it also missed a change of the entries. `store_founders` are the store
-    members that found their group, decided once; `retiring_stores` must leave it for good.
+    `changed_at_ms` is the leader's clock when this epoch was committed, for display only.
+    `entries_version` is incremented by changes of the entries alone, so that a process that missed
+    views can detect whether it also missed a change of the entries. `store_founders` are the store
+    members that bootstrap their group, decided once; `retiring_stores` must leave it permanently.
 
     `evacuated_zones` are the availability zones whose backend servers must get no calls.
 
-    `owners_version` grows with each change of which entries there are or where they listen, so of
-    which one owns an organisation's rate; a new life of an entry at its old address owns what the
-    earlier one did. Every owner by a choice before `settled_version` has stopped.
+    `owners_version` increases when the set of entries or one of their addresses changes, and with
+    it possibly the owner of an organisation's rate; a new incarnation of an entry at its old
+    address owns the same rates. All owners chosen before `settled_version` have stopped.
     """
 
     epoch: int
--- a/libs/model/tarragonhall_model/_rate_messages.py
+++ b/libs/model/tarragonhall_model/_rate_messages.py
@@ -1,7 +1,7 @@
-"""Messages between entries on the rate and burst of an organisation over all of them.
+"""Messages between entries that share the rate and burst of an organisation.
 
-A link carries these records both ways. A request and its reply are matched by the link itself, so
-the records carry no correlation ids. What a handler returns for a request is the reply.
+A link carries these records both ways. The link matches each reply to its request, so the records
+carry no correlation ids. The value that a handler returns for a request is the reply.
 """
 
 from __future__ import annotations
@@ -11,10 +11,11 @@
 
 @record
 class TakeTokens:
-    """Ask the owner of an organisation's bucket for a slice. Reply: `TokensGranted` or
-    `NotOwner`. `holder` is the asking entry's id and incarnation. `finished` names earlier slices
-    of which nothing is left to spend. `patience_ms` is after which time the first of its calls
-    gives up, where one of a program under way waits.
+    """Request a slice of tokens from the owner of an organisation's token bucket.
+
+    Reply: `TokensGranted` or `NotOwner`. `holder` is the id and incarnation of the requesting
+    entry. `finished` names earlier slices that are fully used. `patience_ms` is the time until the
+    first of its queued calls times out; it is set if a call of a program in progress is queued.
     """
 
     org_id: str
@@ -27,10 +28,11 @@
 
 @record
 class TokensGranted:
-    """A slice of tokens, to be spent within `valid_ms` of the instant the request was sent.
+    """A slice of tokens that expires `valid_ms` after the request was sent.
 
-    `retry_after_ms` says when more are expected, where fewer than wanted were given. `backlog` is
-    how many tokens the other holders wait for. `slice_id` names the slice in later messages.
+    `retry_after_ms` is the time until more are expected, if fewer than wanted were granted.
+    `backlog` is how many tokens other holders wait for. `slice_id` names the slice in later
+    messages.
     """
 
     org_id: str
@@ -43,7 +45,7 @@
 
 @record
 class NotOwner:
-    """The entry asked does not own this bucket in its view, or may not grant from it yet."""
+    """The receiver does not own this bucket in its view, or may not grant from it yet."""
 
     view_epoch: int
     retry_after_ms: int
@@ -51,7 +53,7 @@
 
 @record
 class ReturnTokens:
-    """End a slice: `tokens` of it were not spent and go back; the rest was spent."""
+    """End a slice: `tokens` of it are returned unused; the rest was used."""
 
     org_id: str
     holder: str
@@ -61,9 +63,9 @@
 
 @record
 class HandOver:
-    """The owner of a bucket hands it to the next, after the entries changed to `entries_version`.
+    """Transfers a bucket to its next owner after the entries changed to `entries_version`.
 
-    `tokens` is its level, `outstanding` what is granted in slices that have not ended yet.
+    `tokens` is its level, `outstanding` the tokens granted in slices that have not ended yet.
     """
 
     org_id: str
--- a/libs/model/tarragonhall_model/_relay.py
+++ b/libs/model/tarragonhall_model/_relay.py
@@ -1,7 +1,7 @@
-"""What operators decide about calls that are passed on as they are: routes, services, callers.
+"""Configuration and messages of relayed calls: routes, services, callers, backends and load.
 
-Operators publish one numbered document with all of it. The log keeps the document in the form in
-which it was sent, so that reading it back gives what was sent; each process that needs the content
+Operators publish the whole configuration as one numbered document. The log stores the document as
+it was sent, so that reading it back returns the same bytes; each process that needs the content
 decodes it into a `RelayConfig`.
 """
 
@@ -15,7 +15,7 @@
 
 
 class CallType(enum.Enum):
-    """What may be repeated. Only idempotent calls may run more than once."""
+    """Whether a call may be repeated. Only idempotent calls may run more than once."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WeightedService:
-    """A service and its share of a route's calls, against the sum of all weights."""
+    """A service and its share of a route's calls, relative to the sum of all weights."""
 
     service: str
     weight: float
@@ -32,11 +32,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Route:
-    """Where calls to one host and path prefix go.
+    """The services that handle calls to one host and path prefix.
 
-    `priority` is a rank, 0 first. A route with `retained` keeps what was said: its calls are turns
-    and may continue earlier ones for `retention_s`. `max_attempts` bounds on how many backend
-    servers one call may run. Calls run in `home_regions` alone, where any are named.
+    `priority` is a rank, 0 first. A route with `retained` stores its calls as turns, which later
+    calls may continue for `retention_s`. `max_attempts` limits the number of backend servers on
+    which one call may run. If `home_regions` names any, calls run only there.
     """
 
     name: str
@@ -59,10 +59,10 @@
 
 @dataclass(slots=True, frozen=True)
 class EngineProfile:
-    """What is known of a service's model engines beforehand.
+    """Configured properties of a service's model engines.
 
-    `slots` requests run at once in `cache_tokens` of memory; each event of a stream holds
-    `tokens_per_event`.
+    An engine runs `slots` requests at once in a cache of `cache_tokens`; each event of a stream
+    carries `tokens_per_event`.
     """
 
     slots: int
@@ -72,9 +72,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Service:
-    """A group of like backend servers; `engine` is set for model engines.
+    """A group of equivalent backend servers; `engine` is set for model engines.
 
-    A server that has just started bears `cold_calls_per_s` while it warms up; 0 means any number.
+    A server that has just started handles `cold_calls_per_s` while it warms up; 0 means no limit.
     """
 
     name: str
@@ -86,7 +86,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientLimits:
-    """What a client may send, and how long it may take or stay idle."""
+    """Size limits of client requests, and timeouts for their headers and idle connections."""
 
     max_header_bytes: int = 16 * 1024
     max_body_bytes: int = 4 * 1024 * 1024
@@ -98,7 +98,7 @@
 class RelayOrganisation:
     """An organisation, its caller keys and its rate; no rate means no limit.
 
-    Its calls run in `home_regions` alone, where any are named; a route's bind as well.
+    If `home_regions` names any, its calls run only there; those of the route apply as well.
     """
 
     org_id: str
@@ -110,7 +110,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RelayConfig:
-    """Everything in force for passed-on calls. Without `organisations` no call needs a key."""
+    """The configuration in force for relayed calls. Without `organisations` no key is required."""
 
     version: int
     routes: tuple[Route, ...]
@@ -121,7 +121,7 @@
 
 @record
 class RelayDocument:
-    """A numbered document as operators sent it, compressed; the highest version is in force."""
+    """A versioned document as operators sent it, compressed; the highest version is in force."""
 
     version: int
     compressed: bytes
@@ -129,9 +129,9 @@
 
 @record
 class PublishRelay:
-    """Put a document in force unless one of the same or a higher version is held.
+    """Put a document in force unless the same or a higher version is stored.
 
-    Result: `RelayPublished`. Repeating it is harmless.
+    Result: `RelayPublished`. Idempotent.
     """
 
     document: RelayDocument
@@ -146,7 +146,7 @@
 
 @record
 class QueryRelay:
-    """Ask for the document in force. Reply: `RelayHeld` or `NotLeader`; linearizable."""
+    """Query the document in force. Reply: `RelayHeld` or `NotLeader`. The read is linearizable."""
 
 
 @record
@@ -160,9 +160,9 @@
 class BackendRecord:
     """A backend server of the relay as it announced itself.
 
-    `born_ms` (wall clock of its start) and `sequence` order what it says: a restart under the same
-    id counts its sequence anew. `warmup_ms` is how much longer it stays slow after its start.
-    `gone` says that it left for good; `heard` is false once its heartbeats have stopped.
+    `born_ms` (wall clock of its start) and `sequence` order its announcements: after a restart
+    under the same id the sequence starts anew. `warmup_ms` is how much longer its warm-up lasts.
+    `gone` means that it left permanently; `heard` is false once its heartbeats have stopped.
     """
 
     server_id: str
@@ -180,10 +180,11 @@
 
 @record
 class FollowBackends:
-    """Ask a control member for all backend servers it hears, and for changes from now on.
+    """Subscribe to the backend servers known to a control member.
 
-    Reply: `BackendsKnown`. Asked again about once a second; `version` is that of the last reply or
-    news, and the reply is empty where nothing has changed since.
+    Reply: `BackendsKnown`; changes follow as `BackendsChanged`. Repeated about once a second;
+    `version` is that of the last reply or notification, and the reply is empty if nothing has
+    changed since.
     """
 
     version: int = -1
@@ -191,7 +192,7 @@
 
 @record
 class BackendsKnown:
-    """All backend servers that a control member hears, or none where `version` is unchanged."""
+    """All backend servers known to a control member, or none if `version` is unchanged."""
 
     version: int
     complete: bool
@@ -200,7 +201,7 @@
 
 @record
 class BackendsChanged:
-    """Some backend servers changed at a control member, after the version `base`."""
+    """Notification of backend servers that changed at a control member after version `base`."""
 
     version: int
     records: list[BackendRecord]
@@ -209,20 +210,21 @@
 
 @record
 class AdoptBackend:
-    """A control member heard a change of a backend server; the others tell their followers."""
+    """A control member reports a changed backend server; the others notify their followers."""
 
     record: BackendRecord
 
 
 @record
 class BackendAdopted:
-    """The change of a backend server has reached the receiver."""
+    """The receiver has recorded the change of a backend server."""
 
 
 @record
 class RetireStore:
-    """Empty a store member: it leaves the group of stores for good. Result: `StoreRetiring` or
-    `Refusal`.
+    """Retire a store member: it leaves the store group permanently, if `keep` others remain.
+
+    Result: `StoreRetiring` or `Refusal`.
     """
 
     store_id: str
@@ -231,7 +233,7 @@
 
 @record
 class QueryRetired:
-    """Ask how far the retirement of a store member is. Reply: `StoreRetiring`, `Refusal`,
+    """Query the progress of a store member's retirement. Reply: `StoreRetiring`, `Refusal` or
     `NotLeader`.
     """
 
@@ -240,31 +242,31 @@
 
 @record
 class StoreRetiring:
-    """`done` says that the store member holds nothing any more that the others lack."""
+    """`done` means that the store member holds no data that the other members lack."""
 
     done: bool
 
 
 @record
 class ConfirmRetired:
-    """The group of stores goes on without this member."""
+    """The store group no longer includes this member."""
 
     store_id: str
 
 
 @record
 class FoundStores:
-    """Decide, once and for all, which store members found their group. Result: `Recorded`."""
+    """Set, once only, the store members that bootstrap their group. Result: `Recorded`."""
 
     store_ids: list[str]
 
 
 @record
 class ServerSigns:
-    """What calls show of backend servers besides their number, by server.
+    """Signs of the health of backend servers, as numbers of calls by server.
 
-    `silent_by_server` are the calls that should have had an answer, `answered_by_server` those that
-    were answered within the last second.
+    `silent_by_server` counts the calls whose answer is overdue, `answered_by_server` those answered
+    within the last second.
     """
 
     silent_by_server: dict[str, int] = field(default_factory=dict)
@@ -273,7 +275,7 @@
 
 @record
 class EntryLoad:
-    """An entry tells the others how many calls it has running on each backend server."""
+    """Sent by an entry to the others: its running calls by backend server."""
 
     entry_id: str
     running_by_server: dict[str, int]
@@ -282,7 +284,9 @@
 
 @record
 class ProgramSpent:
-    """An entry tells those of its zone what a program that was refused for its budget has used."""
+    """Sent by an entry to those of its zone: the tokens used by a program whose budget is
+    exhausted.
+    """
 
     org_id: str
     program_id: str
@@ -292,7 +296,9 @@
 
 @record
 class ZoneLoad:
-    """A collector tells those of other zones what the entries of its zone have running in sum."""
+    """Sent by a zone's collector to those of other zones: the running calls of its zone's entries
+    in total.
+    """
 
     availability_zone: str
     entries: int
@@ -302,7 +308,9 @@
 
 @record
 class LoadElsewhere:
-    """A collector tells an entry how many others there are and what they have running in sum."""
+    """Sent by a collector to an entry: the number of other entries and their running calls in
+    total.
+    """
 
     entries: int
     running_by_server: dict[str, int]
@@ -311,6 +319,6 @@
 
 @record
 class SuspectCall:
-    """An entry tells the others that a run of a request broke off without an answer."""
+    """Sent by an entry to the others: an attempt of a request ended without an answer."""
 
     fingerprint: str
--- a/libs/model/tarragonhall_model/_timeline.py
+++ b/libs/model/tarragonhall_model/_timeline.py
@@ -1,4 +1,4 @@
-"""Events of the time line, and the questions that collect them from all processes."""
+"""Timeline events, and the queries that collect them from all processes."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 class Stamp:
     """A hybrid logical clock reading: wall time in ms, a counter, and the instance as tie-break.
 
-    Stamps order an effect after its cause even where the clocks of two instances differ.
+    Stamps order an effect after its cause even if the clocks of two instances differ.
     """
 
     wall_ms: int
@@ -25,7 +25,7 @@
 
 @record
 class TimelineEvent:
-    """Something that happened in one process. `program_id` is empty for matters of no program."""
+    """An event in one process. `program_id` is empty for events that concern no program."""
 
     stamp: Stamp
     kind: str
@@ -35,7 +35,7 @@
 
 @record
 class QueryTimeline:
-    """Ask a process for its events. Reply: `TimelineEvents`."""
+    """Query the events of a process. Reply: `TimelineEvents`."""
 
     program_id: str = ""
     since_ms: int = 0
@@ -44,7 +44,7 @@
 
 @record
 class TimelineEvents:
-    """The newest events that match, oldest first. `dropped` were lost to the bound of the ring."""
+    """The newest matching events, oldest first. `dropped` counts those lost to the buffer limit."""
 
     events: list[TimelineEvent]
     dropped: int = 0
--- a/libs/model/tarragonhall_model/_turns.py
+++ b/libs/model/tarragonhall_model/_turns.py
@@ -1,7 +1,7 @@
-"""Turns of programs that are kept, and the token budgets of programs, as the stores know them.
+"""Commands and queries of the stores for stored turns and the token budgets of programs.
 
-A program is known by its organisation and its id together: ids of different organisations may
-clash. Every command is harmless when it is repeated.
+A program is identified by its organisation and its id together, because ids of different
+organisations may collide. Every command is idempotent.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 class ReserveTurn:
     """Reserve `most` tokens of a program's budget for a turn and find the turns before it.
 
-    `budget` is None for a program without one. `previous` names the turn that this one continues.
+    `budget` is None for a program without one. `previous` is the turn that this one continues.
     Result: `TurnReserved`, `BudgetSpent`, `UnknownTurn` or `TurnEnded`.
     """
 
@@ -30,8 +30,8 @@
 
 @record
 class TurnReserved:
-    """The turn may run. `chain` names the turns before it, oldest first; `server_id` is the
-    backend server that ran the last of them.
+    """The turn may run. `chain` holds the ids of the turns before it, oldest first; `server_id` is
+    the backend server that ran the last of them.
     """
 
     chain: list[str] = field(default_factory=list)
@@ -40,9 +40,10 @@
 
 @record
 class BudgetSpent:
-    """The budget does not hold the turn; nothing was reserved.
+    """The budget is too small for the turn; nothing was reserved.
 
-    `spent` is what ended turns have used. It only grows, whatever running turns give back.
+    `spent` is the number of tokens used by ended turns. It never decreases, even when running turns
+    release reserved tokens.
     """
 
     spent: int = 0
@@ -55,12 +56,12 @@
 
 @record
 class TurnEnded:
-    """The attempt has ended before; nothing was reserved."""
+    """The attempt has already ended; nothing was reserved."""
 
 
 @record
 class EndTurn:
-    """A turn ended without being kept; `used` tokens of it reached the caller. Result:
+    """End a turn that is not stored; `used` tokens of it reached the caller. Result:
     `TurnRecorded`.
     """
 
@@ -73,8 +74,9 @@
 
 @record
 class KeepTurn:
-    """A turn ended whole; keep it with its chain for `retention_ms` from now on. Result:
-    `TurnRecorded`, or `UnknownTurn` where the turn it continues is gone.
+    """Store a completed turn and retain it with its chain for `retention_ms` from now on.
+
+    Result: `TurnRecorded`, or `UnknownTurn` if the turn it continues is no longer stored.
     """
 
     attempt_id: str
@@ -97,8 +99,8 @@
 class TurnCommand:
     """A command of the stores' log with the leader's clock.
 
-    `at_ms` counts the milliseconds during which the group had a leader; it owes nothing to the
-    time of day, so that a step of a clock cannot end the retention of turns.
+    `at_ms` counts the milliseconds during which the group had a leader. It is independent of the
+    wall clock, so that a clock step cannot end the retention of turns.
     """
 
     at_ms: int
@@ -107,14 +109,14 @@
 
 @record
 class ReadTurns:
-    """Ask for the content of kept turns, which never changes. Reply: `TurnsRead`."""
+    """Request the content of stored turns, which never changes. Reply: `TurnsRead`."""
 
     turn_ids: list[str]
 
 
 @record
 class TurnContent:
-    """One kept turn."""
+    """The content of one stored turn."""
 
     turn_id: str
     input: bytes
@@ -123,6 +125,6 @@
 
 @record
 class TurnsRead:
-    """The turns that the store member asked holds."""
+    """The requested turns that the store member holds."""
 
     turns: list[TurnContent]
--- a/libs/model/tarragonhall_model/_view_delta.py
+++ b/libs/model/tarragonhall_model/_view_delta.py
@@ -1,4 +1,4 @@
-"""What changed from one view to another: with hundreds of members a whole view is tens of kB."""
+"""Differences between two views: with hundreds of members a complete view is tens of kB."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 @record
 class ViewDelta:
-    """Leads from the view of epoch `base` to that of `epoch`; for no other view.
+    """The changes from the view of epoch `base` to that of `epoch`; applies to no other view.
 
-    The lists hold the members that are new or changed, and the ids of those that are gone. All
-    other fields are those of the later view.
+    The lists hold the members that are new or changed, and the ids of those removed. All other
+    fields are those of the later view.
     """
 
     base: int
@@ -34,10 +34,10 @@
 
 
 def view_delta(earlier: View, later: View) -> ViewDelta:
-    """Return what leads from one view to a later one."""
-    entries, gone_entries = _difference(_entries(earlier), _entries(later))
-    servers, gone_servers = _difference(_servers(earlier), _servers(later))
-    stores, gone_stores = _difference(_stores(earlier), _stores(later))
+    """Return the changes from one view to a later one."""
+    entries, gone_entries = _difference(_entries_by_id(earlier), _entries_by_id(later))
+    servers, gone_servers = _difference(_servers_by_id(earlier), _servers_by_id(later))
+    stores, gone_stores = _difference(_stores_by_id(earlier), _stores_by_id(later))
     return ViewDelta(
         earlier.epoch,
         later.epoch,
@@ -58,7 +58,7 @@
 
 
 def apply_view_delta(view: View, delta: ViewDelta) -> View | None:
-    """Return the later view; None where the delta does not start at this one."""
+    """Return the later view, or None if the delta does not start at this one."""
     if view.epoch != delta.base:
         return None
     return replace(
@@ -68,35 +68,37 @@
         entries_version=delta.entries_version,
         owners_version=delta.owners_version,
         settled_version=delta.settled_version,
-        entries=_applied(_entries(view), delta.entries, delta.gone_entries, "entry_id"),
-        servers=_applied(_servers(view), delta.servers, delta.gone_servers, "server_id"),
-        stores=_applied(_stores(view), delta.stores, delta.gone_stores, "store_id"),
+        entries=_apply_changes(_entries_by_id(view), delta.entries, delta.gone_entries, "entry_id"),
+        servers=_apply_changes(
+            _servers_by_id(view), delta.servers, delta.gone_servers, "server_id"
+        ),
+        stores=_apply_changes(_stores_by_id(view), delta.stores, delta.gone_stores, "store_id"),
         store_founders=delta.store_founders,
         retiring_stores=delta.retiring_stores,
         evacuated_zones=delta.evacuated_zones,
     )
 
 
-def _entries(view: View) -> dict:
-    return {one.entry_id: one for one in view.entries}
+def _entries_by_id(view: View) -> dict:
+    return {entry.entry_id: entry for entry in view.entries}
 
 
-def _servers(view: View) -> dict:
-    return {one.server_id: one for one in view.servers}
+def _servers_by_id(view: View) -> dict:
+    return {server.server_id: server for server in view.servers}
 
 
-def _stores(view: View) -> dict:
-    return {one.store_id: one for one in view.stores}
+def _stores_by_id(view: View) -> dict:
+    return {store.store_id: store for store in view.stores}
 
 
 def _difference(earlier: dict, later: dict) -> tuple[list, list[str]]:
-    changed = [one for member_id, one in later.items() if earlier.get(member_id) != one]
+    changed = [member for member_id, member in later.items() if earlier.get(member_id) != member]
     return changed, [member_id for member_id in earlier if member_id not in later]
 
 
-def _applied(by_id: dict, changed: list, gone: list[str], id_field: str) -> list:
-    for member_id in gone:
+def _apply_changes(by_id: dict, changed: list, removed: list[str], id_field: str) -> list:
+    for member_id in removed:
         by_id.pop(member_id, None)
-    for one in changed:
-        by_id[getattr(one, id_field)] = one
+    for member in changed:
+        by_id[getattr(member, id_field)] = member
     return list(by_id.values())
--- a/libs/model/tests/codec_tests.py
+++ b/libs/model/tests/codec_tests.py
@@ -33,13 +33,13 @@
 
 
 @given(specs, st.lists(st.builds(Turn, text, text), max_size=3))
-def test_a_record_comes_back_as_it_was(spec, history):
+def test_a_record_survives_a_round_trip(spec, history):
     attempt = AttemptId("prog-1", spec.seq, 1, "engine-1", "life-1")
     message = Dispatch(attempt, "org-1", spec, history, priority=0, deadline_ms=100)
     assert decode(encode(message)) == message
 
 
-def test_a_field_declared_as_object_takes_any_record():
+def test_a_field_declared_as_object_accepts_any_record():
     body = OpenProgram("prog-1", "org-1", Budget(), 60, labels={"team": "routing"})
     command = Command("req-1", 5, body)
     assert decode(encode(command)) == command
@@ -55,7 +55,7 @@
     assert from_plain(older) == PolicyDelta(0, 3, organisations=())
 
 
-def test_optional_lists_of_records_are_rebuilt():
+def test_optional_lists_of_records_are_decoded():
     delta = PolicyDelta(0, 1, organisations=(OrganisationPolicy("org-1", "/a"),))
     assert decode(encode(delta)) == delta
 
@@ -64,7 +64,7 @@
     "data",
     [b"", b"\xff", b"\x01", encode(["Turn", {"prompt": 1, "answer": "b"}]), encode(["Nope", {}])],
 )
-def test_bytes_that_are_no_known_record_are_refused(data):
+def test_bytes_that_are_not_a_known_record_are_rejected(data):
     with pytest.raises(CodecError):
         decode(data)
 
@@ -75,7 +75,7 @@
     size: int = 0
 
 
-def test_a_mutable_record_comes_back_with_its_changes():
+def test_a_mutable_record_is_encoded_with_its_changes():
     shelf = Shelf({3: Turn("a", "b")})
     shelf.size = 7
     assert decode(encode(shelf)) == Shelf({3: Turn("a", "b")}, 7)
--- a/libs/model/tests/options_tests.py
+++ b/libs/model/tests/options_tests.py
@@ -25,17 +25,17 @@
         "mode": Choice(("fast", "safe"), default="safe"),
         "zones": ListOf(Text(), default=[]),
     },
-    check=lambda made, place: [Finding(f"{place}/name", "taken")] if made.name == "x" else [],
+    check=lambda sample, place: [Finding(f"{place}/name", "taken")] if sample.name == "x" else [],
 )
 
 
-def test_defaults_fill_what_is_left_out():
-    made, findings = SAMPLE.load({"name": "a", "listen": "127.0.0.1:80"})
+def test_missing_options_take_their_defaults():
+    sample, findings = SAMPLE.load({"name": "a", "listen": "127.0.0.1:80"})
     assert findings == []
-    assert made == Sample("a", "127.0.0.1:80", 3, "safe", [])
+    assert sample == Sample("a", "127.0.0.1:80", 3, "safe", [])
 
 
-def test_all_findings_are_reported_at_once_with_their_places():
+def test_all_findings_are_reported_at_once_with_their_locations():
     _, findings = SAMPLE.load({"nam": "a", "tries": 10, "mode": "saef", "zones": ["a", 5]})
     messages = {finding.place: finding.message for finding in findings}
     assert messages == {
@@ -48,13 +48,13 @@
     }
 
 
-def test_a_check_over_the_whole_group_is_reported_with_its_place():
+def test_a_finding_of_the_group_check_is_reported_with_its_location():
     _, findings = SAMPLE.load({"name": "x", "listen": "127.0.0.1:80"})
     assert findings == [Finding("/name", "taken")]
 
 
 @pytest.mark.parametrize(
-    ("value", "good"),
+    ("value", "valid"),
     [
         ({"name": "a", "listen": "h:1"}, True),
         ({"name": "", "listen": "h:1"}, False),
@@ -63,7 +63,7 @@
         ({"name": "a", "listen": "h:1", "more": 1}, False),
     ],
 )
-def test_the_published_schema_agrees_with_the_checks(value, good):
+def test_the_published_schema_agrees_with_the_checks(value, valid):
     _, findings = SAMPLE.load(value)
-    schema_good = jsonschema.Draft202012Validator(SAMPLE.schema()).is_valid(value)
-    assert (findings == []) == schema_good == good
+    schema_valid = jsonschema.Draft202012Validator(SAMPLE.schema()).is_valid(value)
+    assert (findings == []) == schema_valid == valid
--- a/libs/model/tests/view_delta_tests.py
+++ b/libs/model/tests/view_delta_tests.py
@@ -1,4 +1,4 @@
-"""What changed from one view to another."""
+"""Tests of the differences between two views."""
 
 from __future__ import annotations
 
@@ -16,23 +16,25 @@
 )
 
 IDS = st.sampled_from("abcdef")
-LIVES = st.sampled_from(["one", "two"])
+INCARNATIONS = st.sampled_from(["one", "two"])
 
 
-def members(made) -> st.SearchStrategy[list]:
-    return st.dictionaries(IDS, LIVES).map(lambda by_id: [made(*item) for item in by_id.items()])
+def members(factory) -> st.SearchStrategy[list]:
+    return st.dictionaries(IDS, INCARNATIONS).map(
+        lambda by_id: [factory(*item) for item in by_id.items()]
+    )
 
 
-def entry(name: str, life: str) -> EntryRecord:
-    return EntryRecord(name, life, f"{name}:1", "z")
+def entry(name: str, incarnation: str) -> EntryRecord:
+    return EntryRecord(name, incarnation, f"{name}:1", "z")
 
 
-def server(name: str, life: str) -> ServerRecord:
-    return ServerRecord(name, life, f"{name}:2", "z", ServerKind.MODEL, ["m"])
+def server(name: str, incarnation: str) -> ServerRecord:
+    return ServerRecord(name, incarnation, f"{name}:2", "z", ServerKind.MODEL, ["m"])
 
 
-def store(name: str, life: str) -> StoreRecord:
-    return StoreRecord(name, life, f"{name}:3", "z")
+def store(name: str, incarnation: str) -> StoreRecord:
+    return StoreRecord(name, incarnation, f"{name}:3", "z")
 
 
 def views(epoch: int) -> st.SearchStrategy[View]:
@@ -53,7 +55,7 @@
 
 
 def by_id(view: View) -> tuple:
-    """Return a view without the order of its members, which says nothing."""
+    """Return the content of a view without the order of its members, which is irrelevant."""
     return (
         view.epoch,
         {one.entry_id: one for one in view.entries},
@@ -69,19 +71,19 @@
 
 
 @given(views(1), views(2))
-def test_a_delta_leads_from_any_view_to_any_later_one(earlier, later):
+def test_a_delta_turns_any_view_into_any_later_one(earlier, later):
     assert by_id(apply_view_delta(earlier, view_delta(earlier, later))) == by_id(later)
 
 
-def test_a_delta_is_not_applied_to_another_view_than_its_base():
-    # Guards against a lost or doubled push that would leave members of two views mixed.
+def test_a_delta_is_applied_only_to_its_base_view():
+    # Otherwise a lost or duplicated push would mix the members of two views.
     earlier, later = View(4, [entry("a", "one")], []), View(6, [entry("b", "one")], [])
     delta = view_delta(earlier, later)
     assert apply_view_delta(View(5, [], []), delta) is None
     assert apply_view_delta(later, delta) is None
 
 
-def test_a_restart_among_hundreds_costs_some_hundred_bytes():
+def test_the_delta_for_one_restart_among_hundreds_of_entries_is_small():
     earlier = View(1, [entry(f"e-{n}", "one") for n in range(360)], [])
     later = View(2, [*earlier.entries[1:], entry("e-0", "two")], [])
     assert len(encode(view_delta(earlier, later))) < 600
