--- a/libs/wire/tarragonhall_wire/__init__.py
+++ b/libs/wire/tarragonhall_wire/__init__.py
@@ -1,4 +1,4 @@
-"""Links between processes, HTTP serving, logs, metrics and the time line."""
+"""Links between processes, the HTTP server, logs, metrics and the timeline."""
 
 from __future__ import annotations
 
--- a/libs/wire/tarragonhall_wire/_context.py
+++ b/libs/wire/tarragonhall_wire/_context.py
@@ -1,4 +1,4 @@
-"""What every role of a process shares."""
+"""The context that all roles of a process share."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 
 @dataclass(slots=True)
 class ProcessContext:
-    """The links, metrics, time line and clocks of one process.
+    """The links, metrics, timeline and clocks of one process.
 
     `seed_addresses` are the link addresses of control members from the settings,
-    `control_addresses` those known now. `started_at` is when this process began, by `monotonic`:
-    whoever listened at `link_address` before had ended by then.
+    `control_addresses` those currently known. `started_at` is the start of this process by
+    `monotonic`: any earlier process at `link_address` had ended by then.
     """
 
     instance: str
@@ -42,23 +42,23 @@
     started_at: float = field(default_factory=time.monotonic)
 
     def entry_record(self) -> EntryRecord:
-        """Return what an entry in this process announces of itself."""
+        """Return the record by which an entry in this process announces itself."""
         return EntryRecord(
             self.instance, self.incarnation, self.link_address, self.availability_zone
         )
 
 
 class Role(Protocol):
-    """One role of a process, as the daemon drives it."""
+    """The interface through which the daemon runs a role of a process."""
 
     def ready(self) -> bool:
-        """Return whether the role can do its work now."""
+        """Return whether the role can serve requests now."""
 
     def drain(self, timeout_s: float) -> bool:
-        """Take no new work and finish what is at hand; return whether all of it ended in time."""
+        """Reject new work and finish work in flight; return whether all of it ended in time."""
 
     def stop(self) -> None:
-        """Release everything at once."""
+        """Release all resources at once."""
 
 
 def make_context(
@@ -70,16 +70,16 @@
     metrics: Metrics,
     started_at: float | None = None,
 ) -> ProcessContext:
-    """Return the context of a new life of this process, with its listener open.
+    """Return the context of a new incarnation of this process, with its listener open.
 
-    `started_at` is when the process began; left out, it is now.
+    `started_at` is the start of the process and defaults to now.
     """
     incarnation = secrets.token_hex(8)
     rng = random.Random(secrets.randbits(64))
     timeline = Timeline(HybridClock(instance))
-    me = Peer(instance, incarnation, link_address, availability_zone)
+    local_peer = Peer(instance, incarnation, link_address, availability_zone)
     traffic = Traffic(availability_zone, metrics.exposition)
-    hub = Hub(me, secret, timeline, rng, traffic)
+    hub = Hub(local_peer, secret, timeline, rng, traffic)
     hub.listen(link_address)
     return ProcessContext(
         instance=instance,
--- a/libs/wire/tarragonhall_wire/_control_client.py
+++ b/libs/wire/tarragonhall_wire/_control_client.py
@@ -1,4 +1,4 @@
-"""How entries and sidecars reach the control members: find the leader, propose, ask, follow."""
+"""Client of the control members: proposals, requests, heartbeats, and updates for followers."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class FollowerApi(Protocol):
-    """The part of `state.Follower` that is fed from here."""
+    """The part of `state.Follower` that this module updates."""
 
     settings_revision: int
     relay_version: int
@@ -49,24 +49,24 @@
 
 
 class ControlClient:
-    """Talks to whichever control member leads."""
+    """Communicates with the current leader of the control members."""
 
-    __slots__ = ("_context", "_heartbeat_s", "_leader", "_left", "followers")
+    __slots__ = ("_context", "_heartbeat_s", "_leader", "_left_node_ids", "followers")
 
     def __init__(self, context: ProcessContext, heartbeat_s: float = HEARTBEAT_SECONDS) -> None:
         self._context = context
         self._heartbeat_s = heartbeat_s
         self._leader = LeaderClient(context, lambda: context.control_addresses)
-        self._left: set[str] = set()
+        self._left_node_ids: set[str] = set()
         self.followers: list[FollowerApi] = []
-        context.hub.handle(News, self._on_news)
+        context.hub.handle(News, self._on_update)
 
     def propose(self, body: object, timeout_s: float, request_id: str | None = None) -> object:
         """Commit a command and return its result; see `LeaderClient.propose`."""
         return self._leader.propose(body, timeout_s, request_id)
 
     def ask(self, message: object, timeout_s: float) -> object:
-        """Send a request to the leader until it is answered, or raise `UnavailableError`."""
+        """Send a request to the leader with retries; raise `UnavailableError` on timeout."""
         return self._leader.ask(message, timeout_s)
 
     def follow(
@@ -79,18 +79,18 @@
     ) -> None:
         """Keep a follower fresh and `node` announced, from a green thread, until it leaves.
 
-        `settled_owners` returns what the heartbeat's field of that name holds.
+        `settled_owners` returns the value of the heartbeat's field of that name.
         """
         self.followers.append(follower)
         eventlet.spawn_n(self._follow_loop, node, follower, load, takes_relay, settled_owners)
 
     def leave(self, node: EntryRecord | ServerRecord | StoreRecord, timeout_s: float) -> None:
-        """Leave the view; after a failure the missing heartbeats do the same, later.
+        """Leave the view; if this fails, the missing heartbeats have the same effect later.
 
-        Only this node's heartbeats end: an entry that leaves first must not take the sidecars of
-        its process out of the view while they still work for others.
+        Only this node's heartbeats stop: an entry that leaves first must not remove the sidecars of
+        its process from the view while they still serve other entries.
         """
-        self._left.add(_node_id(node))
+        self._left_node_ids.add(_node_id(node))
         try:
             self.ask(Leaving(node), timeout_s)
         except UnavailableError as error:
@@ -104,9 +104,9 @@
         takes_relay: bool,
         settled_owners: Callable[[], int],
     ) -> None:
-        while _node_id(node()) not in self._left:
+        while _node_id(node()) not in self._left_node_ids:
             relay_version = follower.relay_version if takes_relay else None
-            beat = Heartbeat(
+            heartbeat = Heartbeat(
                 node(),
                 follower.settings_revision,
                 follower.view.epoch,
@@ -115,37 +115,37 @@
                 settled_owners(),
             )
             try:
-                timed = self._leader.ask_timed(beat, ATTEMPT_SECONDS * 2)
+                timed_reply = self._leader.request_timed(heartbeat, ATTEMPT_SECONDS * 2)
             except UnavailableError:
                 self._context.metrics.count("control.heartbeat_failed")
                 continue
-            if isinstance(timed.reply, Fresh):
-                follower.confirm(timed.reply, timed.sent_at)
-                self._learn_members(timed.reply.controls)
+            if isinstance(timed_reply.reply, Fresh):
+                follower.confirm(timed_reply.reply, timed_reply.sent_at)
+                self._update_addresses(timed_reply.reply.controls)
             eventlet.sleep(self._heartbeat_s * self._context.rng.uniform(0.8, 1.0))
 
-    def _learn_members(self, controls: tuple[str, ...]) -> None:
-        """Take over where the members are now: those of the settings may all be replaced.
+    def _update_addresses(self, controls: tuple[str, ...]) -> None:
+        """Adopt the current member addresses: those of the settings may all have been replaced.
 
-        The addresses of the settings stay behind them, for a process that was cut off while every
+        The addresses of the settings are appended, for a process that was partitioned while every
         member that it knew was replaced.
         """
-        seeds = [one for one in self._context.seed_addresses if one not in controls]
+        seeds = [seed for seed in self._context.seed_addresses if seed not in controls]
         addresses = [*controls, *seeds]
         if controls and addresses != self._context.control_addresses:
             log.info("control.members", addresses=addresses)
             self._context.control_addresses[:] = addresses
 
-    def _on_news(self, _link: object, news: News) -> None:
+    def _on_update(self, _link: object, update: News) -> None:
         for follower in self.followers:
-            if news.policy is not None:
-                follower.apply_policy(news.policy)
-            if news.view is not None:
-                follower.apply_view(news.view)
-            if news.view_delta is not None:
-                follower.apply_view_delta(news.view_delta)
-            if news.relay is not None:
-                follower.apply_relay(news.relay)
+            if update.policy is not None:
+                follower.apply_policy(update.policy)
+            if update.view is not None:
+                follower.apply_view(update.view)
+            if update.view_delta is not None:
+                follower.apply_view_delta(update.view_delta)
+            if update.relay is not None:
+                follower.apply_relay(update.relay)
 
 
 def _node_id(node: EntryRecord | ServerRecord | StoreRecord) -> str:
--- a/libs/wire/tarragonhall_wire/_exposition.py
+++ b/libs/wire/tarragonhall_wire/_exposition.py
@@ -1,8 +1,8 @@
-"""Counters, gauges and histograms of one process in the text form that collectors fetch.
+"""Counters, gauges and histograms of one process in the Prometheus text format.
 
-Written here because the usual client library takes a third of the memory of a whole process.
-Names become `tarragonhall_relay_calls_total` and `tarragonhall_relay_call_seconds`; the values of
-labels come from a fixed set, never an id or the name of an organisation.
+The usual client library is not used because it takes 12 MB, a third of a process's memory. Names
+become `tarragonhall_relay_calls_total` and `tarragonhall_relay_call_seconds`; label values come
+from a fixed set and never contain an id or the name of an organisation.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 PREFIX = "tarragonhall_"
-# Seconds. From a round trip between zones to the longest call, each about twice the one before.
+# Seconds, from a round trip between zones to the longest call, each about twice the previous.
 BUCKETS = (0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0)
 
 Labels = tuple[tuple[str, str], ...]
@@ -19,13 +19,13 @@
 
 @dataclass(slots=True)
 class Histogram:
-    """How many durations fell into each bucket, and their sum."""
+    """The number of durations in each bucket, and their sum in seconds."""
 
     counts: list[int] = field(default_factory=lambda: [0] * (len(BUCKETS) + 1))
     total: float = 0.0
 
     def observe(self, seconds: float) -> None:
-        """Count one duration."""
+        """Record one duration."""
         self.counts[bisect.bisect_left(BUCKETS, seconds)] += 1
         self.total += seconds
 
@@ -50,38 +50,38 @@
         self._gauges[(name, labels)] = value
 
     def observe(self, name: str, seconds: float, labels: Labels = ()) -> None:
-        """Count a duration."""
+        """Record a duration."""
         self._histograms.setdefault((name, labels), Histogram()).observe(seconds)
 
     def text(self) -> str:
-        """Return everything in the text form."""
+        """Return all metrics in the text format."""
         lines: list[str] = []
         for (name, labels), value in sorted(self._counters.items()):
-            lines.append(f"{_full(name)}_total{_labels(labels)} {value}")
+            lines.append(f"{_full_name(name)}_total{_format_labels(labels)} {value}")
         for (name, labels), value in sorted(self._gauges.items()):
-            lines.append(f"{_full(name)}{_labels(labels)} {value:g}")
-        for (name, labels), histogram in sorted(self._histograms.items(), key=lambda one: one[0]):
-            lines.extend(_histogram_lines(_full(name) + "_seconds", labels, histogram))
+            lines.append(f"{_full_name(name)}{_format_labels(labels)} {value:g}")
+        for (name, labels), histogram in sorted(self._histograms.items(), key=lambda item: item[0]):
+            lines.extend(_histogram_lines(_full_name(name) + "_seconds", labels, histogram))
         return "\n".join(lines) + "\n"
 
 
 def _histogram_lines(name: str, labels: Labels, histogram: Histogram) -> list[str]:
     lines = []
-    below = 0
+    cumulative = 0
     for bound, count in zip((*BUCKETS, float("inf")), histogram.counts, strict=True):
-        below += count
+        cumulative += count
         text = "+Inf" if bound == float("inf") else f"{bound:g}"
-        lines.append(f"{name}_bucket{_labels((*labels, ('le', text)))} {below}")
-    lines.append(f"{name}_sum{_labels(labels)} {histogram.total:.6g}")
-    lines.append(f"{name}_count{_labels(labels)} {below}")
+        lines.append(f"{name}_bucket{_format_labels((*labels, ('le', text)))} {cumulative}")
+    lines.append(f"{name}_sum{_format_labels(labels)} {histogram.total:.6g}")
+    lines.append(f"{name}_count{_format_labels(labels)} {cumulative}")
     return lines
 
 
-def _full(name: str) -> str:
+def _full_name(name: str) -> str:
     return PREFIX + name.removesuffix("_ms").replace(".", "_")
 
 
-def _labels(labels: Labels) -> str:
+def _format_labels(labels: Labels) -> str:
     if not labels:
         return ""
     return "{" + ",".join(f'{name}="{value}"' for name, value in labels) + "}"
--- a/libs/wire/tarragonhall_wire/_handshake.py
+++ b/libs/wire/tarragonhall_wire/_handshake.py
@@ -1,8 +1,8 @@
-"""The mutual proof with which both ends of a link begin.
+"""The mutual authentication with which every link starts.
 
-Both know the shared secret; neither sends it. Each end draws a nonce and proves the secret by an
-HMAC over both nonces and both identities. Without the peer's fresh nonce in the proof, a recorded
-proof could be sent again; without the direction in it, a peer's own proof could be reflected.
+Both ends know the shared secret; neither sends it. Each end draws a nonce and proves that it knows
+the secret by an HMAC over both nonces and both identities. The peer's fresh nonce in the proof
+prevents replay; the direction prevents that a peer's own proof is reflected to it.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 
 
 class HandshakeError(LinkError):
-    """The peer could not prove the secret, or speaks another protocol version."""
+    """The peer failed to authenticate, or uses another protocol version."""
 
 
 @record
 class Peer:
-    """Who is at the other end of a link."""
+    """The identity of a process at one end of a link."""
 
     instance: str
     incarnation: str
@@ -35,7 +35,7 @@
 
 @record
 class Hello:
-    """First message each way."""
+    """First message in each direction."""
 
     version: int
     nonce: bytes
@@ -44,7 +44,7 @@
 
 @record
 class Proof:
-    """Second message each way."""
+    """Second message in each direction."""
 
     mac: bytes
 
@@ -73,27 +73,27 @@
         )
 
 
-def greet(send: Callable, receive: Callable, secret: bytes, me: Peer) -> Peer:
-    """Run the client's side; return the proven server."""
-    mine = Hello(PROTOCOL_VERSION, secrets.token_bytes(NONCE_BYTES), me)
-    send(encode(mine))
-    theirs = _expect(receive(), Hello)
-    _check_version(theirs)
+def client_handshake(send: Callable, receive: Callable, secret: bytes, local_peer: Peer) -> Peer:
+    """Run the client side; return the authenticated server."""
+    own_hello = Hello(PROTOCOL_VERSION, secrets.token_bytes(NONCE_BYTES), local_peer)
+    send(encode(own_hello))
+    peer_hello = _expect(receive(), Hello)
+    _check_version(peer_hello)
     proof = _expect(receive(), Proof)
-    if not hmac.compare_digest(proof.mac, _mac(secret, SERVER, mine, theirs)):
-        raise HandshakeError(f"{theirs.peer.instance} does not know the link secret")
-    send(encode(Proof(_mac(secret, CLIENT, mine, theirs))))
-    return theirs.peer
-
-
-def answer_greeting(send: Callable, receive: Callable, secret: bytes, me: Peer) -> Peer:
-    """Run the server's side; return the proven client."""
-    theirs = _expect(receive(), Hello)
-    _check_version(theirs)
-    mine = Hello(PROTOCOL_VERSION, secrets.token_bytes(NONCE_BYTES), me)
-    send(encode(mine))
-    send(encode(Proof(_mac(secret, SERVER, theirs, mine))))
+    if not hmac.compare_digest(proof.mac, _mac(secret, SERVER, own_hello, peer_hello)):
+        raise HandshakeError(f"{peer_hello.peer.instance} does not know the link secret")
+    send(encode(Proof(_mac(secret, CLIENT, own_hello, peer_hello))))
+    return peer_hello.peer
+
+
+def server_handshake(send: Callable, receive: Callable, secret: bytes, local_peer: Peer) -> Peer:
+    """Run the server side; return the authenticated client."""
+    peer_hello = _expect(receive(), Hello)
+    _check_version(peer_hello)
+    own_hello = Hello(PROTOCOL_VERSION, secrets.token_bytes(NONCE_BYTES), local_peer)
+    send(encode(own_hello))
+    send(encode(Proof(_mac(secret, SERVER, peer_hello, own_hello))))
     proof = _expect(receive(), Proof)
-    if not hmac.compare_digest(proof.mac, _mac(secret, CLIENT, theirs, mine)):
-        raise HandshakeError(f"{theirs.peer.instance} does not know the link secret")
-    return theirs.peer
+    if not hmac.compare_digest(proof.mac, _mac(secret, CLIENT, peer_hello, own_hello)):
+        raise HandshakeError(f"{peer_hello.peer.instance} does not know the link secret")
+    return peer_hello.peer
--- a/libs/wire/tarragonhall_wire/_http.py
+++ b/libs/wire/tarragonhall_wire/_http.py
@@ -1,4 +1,4 @@
-"""JSON over HTTP for callers and operators, on eventlet's WSGI server, with a graceful stop."""
+"""JSON over HTTP for callers and operators, on eventlet's WSGI server, with graceful shutdown."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 log = structlog.get_logger(__name__)
 
 MAX_BODY_BYTES = 4 * 1024 * 1024
-# A connection that sends nothing for this long holds a green thread for no one.
+# Idle connections are closed after this time, because each occupies a green thread.
 IDLE_SECONDS = 75
 BACKLOG = 1_024
-# A client that got no response yet has its request under way; it needs a round trip, not a minute.
+# How long a stop waits for open connections: a request in flight arrives within a round trip.
 LINGER_SECONDS = 1.0
 LINGER_POLL_SECONDS = 0.02
 STATUS_TEXT_BY_CODE = {
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True)
 class HttpRequest:
-    """One request; `parts` are the groups that the route matched in the path."""
+    """One request; `parts` holds the parameters that the route matched in the path."""
 
     method: str
     path: str
@@ -46,12 +46,12 @@
     parts: dict[str, str] = field(default_factory=dict)
 
     def bearer(self) -> str | None:
-        """Return the bearer credential, if there is one."""
+        """Return the bearer credential, or None."""
         scheme, _, credential = self.headers.get("authorization", "").partition(" ")
         return credential.strip() if scheme.lower() == "bearer" and credential.strip() else None
 
     def json(self) -> dict:
-        """Return the body as a JSON object; raise `InputError` where it is none."""
+        """Return the body as a JSON object; raise `InputError` if it is anything else."""
         if not self.body:
             return {}
         value = parse_json(self.body)
@@ -80,7 +80,7 @@
 
 
 class HttpServer:
-    """Serves routes on one address until told to stop."""
+    """Serves routes on one address until it is stopped."""
 
     __slots__ = ("_finished", "_listener", "_on_error", "_routes", "draining")
 
@@ -99,20 +99,20 @@
         return self._listener.getsockname()[1]
 
     def route(self, method: str, pattern: str, handler: Callable) -> None:
-        """Serve paths like `/v1/programs/{program_id}` with a handler."""
+        """Register a handler for paths like `/v1/programs/{program_id}`."""
         expression = re.sub(r"\{(\w+)\}", r"(?P<\1>[^/]+)", pattern)
         self._routes.append((method, re.compile(expression), handler))
 
     def start(self) -> None:
-        """Begin to serve in a green thread."""
+        """Start serving in a green thread."""
         eventlet.spawn_n(self._serve)
 
     def drain(self) -> None:
-        """Close each connection after its next response, so that clients go elsewhere."""
+        """Close each connection after its next response, so that clients reconnect elsewhere."""
         self.draining = True
 
     def stop(self, timeout_s: float) -> bool:
-        """Stop accepting, finish every request at hand; return whether all ended in time."""
+        """Stop accepting, finish all requests in flight; return whether all ended in time."""
         self.draining = True
         self._listener.stop()
         with eventlet.Timeout(timeout_s, False):
@@ -144,7 +144,7 @@
             headers.append(("Connection", "close"))
         status = f"{response.status} {STATUS_TEXT_BY_CODE[response.status]}"
         if response.events is not None:
-            # Without this, eventlet gathers small events up to 4,096 bytes before it writes.
+            # Without this, eventlet buffers small events up to 4,096 bytes before it writes.
             environ["eventlet.minimum_write_chunk_size"] = 0
             headers += [("Content-Type", "text/event-stream"), ("Cache-Control", "no-store")]
             start_response(status, headers)
@@ -206,32 +206,32 @@
 
 
 class _StoppableListener:
-    """A listening socket whose `accept` ends the server once told to, but not before.
+    """A listening socket whose `accept` ends the server after `stop`, once the backlog is empty.
 
-    Clients whose connections the kernel already completed believe that they are served, and so do
-    those that have sent a request on an open connection which nobody has read yet. The server
-    would reset both, as idle. So the backlog is emptied first, and open connections get a moment
-    for the response that asks them to close.
+    Clients whose connections the kernel has already completed expect to be served, and so do those
+    whose request on an open connection has not been read yet. The server would reset both kinds as
+    idle. So the backlog is accepted first, and open connections get a short time for the response
+    that closes them.
     """
 
-    __slots__ = ("_deadline", "_open", "_socket", "_stopping", "_waiter")
+    __slots__ = ("_connections", "_deadline", "_socket", "_stopping", "_waiter")
 
     def __init__(self, listening_socket) -> None:
         self._socket = listening_socket
         self._deadline = 0.0
-        self._open: list = []
+        self._connections: list = []
         self._stopping = False
         self._waiter = None
 
     def stop(self) -> None:
-        """Make `accept` give out the backlog and then end the server."""
+        """Make `accept` return the backlog and then end the server."""
         self._stopping = True
         self._deadline = time.monotonic() + LINGER_SECONDS
-        # Thrown from the loop itself: thrown from here, this thread would never go on.
+        # Thrown from the event loop: if thrown from here, this thread would never be resumed.
         eventlet.hubs.get_hub().schedule_call_global(0, self._interrupt)
 
     def _interrupt(self) -> None:
-        # A connection may have ended the wait since the stop was asked for.
+        # A new connection may have ended the wait after the stop was requested.
         if self._waiter is not None:
             self._waiter.throw(_Stop)
 
@@ -240,34 +240,36 @@
             return self._accept_from_backlog()
         self._waiter = eventlet.getcurrent()
         try:
-            return self._keep(self._socket.accept())
+            return self._track(self._socket.accept())
         except _Stop:
             return self._accept_from_backlog()
         finally:
             self._waiter = None
 
     def _accept_from_backlog(self):
-        # The deadline counts from the stop: balancers go on probing, and counted from the last
-        # connection it would never come. A timeout of zero would make eventlet's socket give out
-        # plain blocking connections, and an idle one of these stops the whole process.
+        # The deadline counts from the stop: load balancers keep probing, so a deadline after the
+        # last connection would never pass. With a timeout of zero, eventlet's socket would return
+        # plain blocking connections, and an idle one of these would block the whole process.
         self._socket.settimeout(LINGER_POLL_SECONDS)
         while True:
             with contextlib.suppress(BlockingIOError, TimeoutError):
-                return self._keep(self._socket.accept())
-            self._forget_closed()
-            if not self._open or time.monotonic() > self._deadline:
+                return self._track(self._socket.accept())
+            self._remove_closed()
+            if not self._connections or time.monotonic() > self._deadline:
                 self._socket.close()
-                # Connections accepted just now get their requests read before the idle are closed.
+                # Let the requests of new connections be read before idle connections are closed.
                 eventlet.sleep(LINGER_POLL_SECONDS)
                 raise SystemExit
 
-    def _keep(self, accepted):
-        self._forget_closed()
-        self._open.append(accepted[0])
+    def _track(self, accepted):
+        self._remove_closed()
+        self._connections.append(accepted[0])
         return accepted
 
-    def _forget_closed(self) -> None:
-        self._open = [connection for connection in self._open if connection.fileno() >= 0]
+    def _remove_closed(self) -> None:
+        self._connections = [
+            connection for connection in self._connections if connection.fileno() >= 0
+        ]
 
     def __getattr__(self, name: str):
         return getattr(self._socket, name)
--- a/libs/wire/tarragonhall_wire/_hub.py
+++ b/libs/wire/tarragonhall_wire/_hub.py
@@ -1,4 +1,4 @@
-"""All links of one process: its listener, the peers it dials, and which handler gets what."""
+"""All links of one process: accepts and dials them, and dispatches messages to handlers."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import structlog
 from tarragonhall_model import LinkClosedError, LinkError, QueryTimeline
 
-from tarragonhall_wire._handshake import HandshakeError, Peer, answer_greeting, greet
+from tarragonhall_wire._handshake import HandshakeError, Peer, client_handshake, server_handshake
 from tarragonhall_wire._link import Link
 from tarragonhall_wire._timeline import Timeline
 from tarragonhall_wire._traffic import Traffic
@@ -18,31 +18,32 @@
 log = structlog.get_logger(__name__)
 
 BACKLOG = 1_024
-# For the connection, the opening of the WebSocket and the mutual proof together.
+# For the TCP connection, the WebSocket handshake and the mutual authentication together.
 OPEN_TIMEOUT_SECONDS = 2.0
-# Out of file descriptors, for example: the loop goes on once some are free again.
+# Delay after a failed accept, for example when out of file descriptors, before the next one.
 ACCEPT_PAUSE_SECONDS = 0.1
-# A machine without power answers nothing. Its kernel repeats the first packet after a second only,
-# so a dial that began before the power came back would wait longer than one begun anew.
+# A machine without power does not answer. The dialling kernel resends the first packet only after
+# one second, so after power returns a new dial succeeds sooner than one already waiting.
 CONNECT_TIMEOUT_SECONDS = 0.5
 RECONNECT_MIN_SECONDS = 0.1
-# After every process was killed, whoever dialled too early dials again within this, and elections
-# wait for it.
+# After all processes were killed, those that dialled too early dial again within this time, and
+# elections wait for it: with 2 s a leader was elected up to 1 s after its voters had started.
 RECONNECT_MAX_SECONDS = 0.5
 
 
 class Hub:
     """The links of one process.
 
-    Handlers are registered by message class. `link_to` returns the link to an address and keeps it
-    dialled from then on; `forget` ends that. Where the peer has dialled already its link is used:
-    two links between each two processes would be twice the heartbeats, and a process that came back
-    is reached as soon as it has dialled, not when the pause before the next dial is over.
+    Handlers are registered by message class. `link_to` returns the link to an address and redials
+    it from then on until `forget`. If the peer has already dialled, its link is used: two links
+    between two processes would double the heartbeats, and a restarted process is reachable as soon
+    as it has dialled instead of after the delay before the next dial.
     """
 
     __slots__ = (
         "_accepted_by_address",
         "_acceptor",
+        "_dial_targets",
         "_dialled_by_address",
         "_handler_by_class",
         "_listener",
@@ -51,26 +52,25 @@
         "_rng",
         "_secret",
         "_stopped",
-        "_wanted",
         "accepted",
-        "me",
+        "local_peer",
         "timeline",
         "traffic",
     )
 
     def __init__(
         self,
-        me: Peer,
+        local_peer: Peer,
         secret: bytes,
         timeline: Timeline,
         rng: random.Random,
         traffic: Traffic | None = None,
     ) -> None:
-        self.me = me
+        self.local_peer = local_peer
         self.timeline = timeline
         self.traffic = traffic or Traffic()
         self.accepted: list[Link] = []
-        # The newest of each peer: an earlier life of it may have left one half open.
+        # The newest of each peer: its earlier incarnation may have left a half-open link.
         self._accepted_by_address: dict[str, Link] = {}
         self._secret = secret
         self._rng = rng
@@ -78,16 +78,16 @@
         self._on_down: list[Callable[[Link], None]] = []
         self._on_up: list[Callable[[Link], None]] = []
         self._dialled_by_address: dict[str, Link] = {}
-        self._wanted: set[str] = set()
+        self._dial_targets: set[str] = set()
         self._listener = None
         self._acceptor = None
         self._stopped = False
         self.handle(QueryTimeline, lambda _link, query: timeline.find(query))
 
     def handle(self, message_class: type, handler: Callable[[Link, object], object]) -> None:
-        """Register the one handler for a class of messages.
+        """Register the only handler for a message class.
 
-        A handler of requests runs in a green thread of its own and returns the reply. A handler of
+        A request handler runs in a green thread of its own and returns the reply. A handler of
         one-way messages runs in the reader's thread, in order, and must not block.
         """
         if message_class in self._handler_by_class:
@@ -95,11 +95,11 @@
         self._handler_by_class[message_class] = handler
 
     def on_up(self, callback: Callable[[Link], None]) -> None:
-        """Call back with each link that opens, before its first message."""
+        """Call `callback` with each link that opens, before its first message."""
         self._on_up.append(callback)
 
     def on_down(self, callback: Callable[[Link], None]) -> None:
-        """Call back with each link that closes."""
+        """Call `callback` with each link that closes."""
         self._on_down.append(callback)
 
     def listen(self, address: str) -> None:
@@ -113,21 +113,21 @@
         return self._listener.getsockname()[1]
 
     def link_to(self, address: str) -> Link:
-        """Return the open link to an address, or raise `LinkClosedError` while there is none."""
-        link = self._open_link(address)
+        """Return the open link to an address; raise `LinkClosedError` if there is none yet."""
+        link = self._find_open_link(address)
         if link is not None:
             return link
-        if address not in self._wanted:
-            self._wanted.add(address)
+        if address not in self._dial_targets:
+            self._dial_targets.add(address)
             eventlet.spawn_n(self._dial_loop, address)
             eventlet.sleep(0)
-            link = self._open_link(address)
+            link = self._find_open_link(address)
         if link is None:
             raise LinkClosedError(f"no link to {address}")
         return link
 
-    def _open_link(self, address: str) -> Link | None:
-        """Return the link to an address that is open, whoever dialled it."""
+    def _find_open_link(self, address: str) -> Link | None:
+        """Return the open link to an address, whichever end dialled it."""
         for by_address in (self._dialled_by_address, self._accepted_by_address):
             link = by_address.get(address)
             if link is not None and not link.closed:
@@ -146,7 +146,7 @@
 
     def forget(self, address: str) -> None:
         """Close the link to an address and stop dialling it."""
-        self._wanted.discard(address)
+        self._dial_targets.discard(address)
         link = self._dialled_by_address.pop(address, None)
         if link is not None:
             link.close()
@@ -159,9 +159,9 @@
     def stop(self) -> None:
         """Close the listener and every link."""
         self._stopped = True
-        self._wanted.clear()
+        self._dial_targets.clear()
         if self._acceptor is not None:
-            # Ended before its socket is closed: the loop must not find a closed socket to wait on.
+            # Killed before its socket is closed: the loop must not wait on a closed socket.
             self._acceptor.kill()
             self._listener.close()
         for link in self.links():
@@ -184,25 +184,27 @@
             eventlet.spawn_n(self._accept, connection)
 
     def _accept(self, connection) -> None:
-        opened = None
+        websocket = None
         try:
-            with eventlet.Timeout(OPEN_TIMEOUT_SECONDS, HandshakeError("too slow")):
-                opened = accept(connection)
-                peer = answer_greeting(opened.send, opened.recv, self._secret, self.me)
+            with eventlet.Timeout(OPEN_TIMEOUT_SECONDS, HandshakeError("handshake timed out")):
+                websocket = accept(connection)
+                peer = server_handshake(
+                    websocket.send, websocket.recv, self._secret, self.local_peer
+                )
         except (LinkError, OSError, EOFError) as error:
             log.warning("link.refused", error=str(error))
-            if opened is not None:
-                opened.close()
+            if websocket is not None:
+                websocket.close()
             return
-        link = Link(opened, peer, self._dispatch, self.timeline.clock, self.traffic)
+        link = Link(websocket, peer, self._dispatch, self.timeline.clock, self.traffic)
         self.accepted.append(link)
         self._accepted_by_address[peer.address] = link
-        self._run(link)
+        self._run_link(link)
         self.accepted.remove(link)
         if self._accepted_by_address.get(peer.address) is link:
             del self._accepted_by_address[peer.address]
 
-    def _run(self, link: Link) -> None:
+    def _run_link(self, link: Link) -> None:
         log.info("link.up", peer=link.peer.instance)
         for callback in self._on_up:
             callback(link)
@@ -213,45 +215,47 @@
             callback(link)
 
     def _dial_loop(self, address: str) -> None:
-        pause = RECONNECT_MIN_SECONDS
-        while address in self._wanted and not self._stopped:
-            if self._open_link(address) is not None:
-                # The peer has dialled; whoever finds that link closed dials again.
-                self._wanted.discard(address)
+        delay_s = RECONNECT_MIN_SECONDS
+        while address in self._dial_targets and not self._stopped:
+            if self._find_open_link(address) is not None:
+                # The peer has dialled; the next `link_to` after that link closes dials again.
+                self._dial_targets.discard(address)
                 return
             if self._dial_and_run(address):
-                pause = RECONNECT_MIN_SECONDS
+                delay_s = RECONNECT_MIN_SECONDS
                 continue
-            # Jitter: after an instance returns, its peers must not all dial at once.
-            eventlet.sleep(pause * self._rng.uniform(0.5, 1.5))
-            pause = min(pause * 2, RECONNECT_MAX_SECONDS)
+            # Jitter, so that the peers of a restarted instance do not all dial at once.
+            eventlet.sleep(delay_s * self._rng.uniform(0.5, 1.5))
+            delay_s = min(delay_s * 2, RECONNECT_MAX_SECONDS)
 
     def _dial_and_run(self, address: str) -> bool:
-        """Open a link and read it until it closes; return whether it opened."""
+        """Dial a link and serve it until it closes; return whether it opened."""
         link = self._dial(address)
         if link is None:
             return False
         self._dialled_by_address[address] = link
-        self._run(link)
+        self._run_link(link)
         if self._dialled_by_address.get(address) is link:
             del self._dialled_by_address[address]
         return True
 
     def _dial(self, address: str) -> Link | None:
-        opened: WebSocket | None = None
+        websocket: WebSocket | None = None
         try:
-            with eventlet.Timeout(OPEN_TIMEOUT_SECONDS, HandshakeError("too slow")):
-                opened = connect(split_address(address), CONNECT_TIMEOUT_SECONDS)
-                peer = greet(opened.send, opened.recv, self._secret, self.me)
+            with eventlet.Timeout(OPEN_TIMEOUT_SECONDS, HandshakeError("handshake timed out")):
+                websocket = connect(split_address(address), CONNECT_TIMEOUT_SECONDS)
+                peer = client_handshake(
+                    websocket.send, websocket.recv, self._secret, self.local_peer
+                )
         except (LinkError, OSError, EOFError) as error:
             log.debug("link.dial_failed", address=address, error=str(error))
-            if opened is not None:
-                opened.close()
+            if websocket is not None:
+                websocket.close()
             return None
-        return Link(opened, peer, self._dispatch, self.timeline.clock, self.traffic)
+        return Link(websocket, peer, self._dispatch, self.timeline.clock, self.traffic)
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Split `host:port`."""
+    """Split `host:port` into host and port number."""
     host, _, port = address.rpartition(":")
     return host, int(port)
--- a/libs/wire/tarragonhall_wire/_leader_client.py
+++ b/libs/wire/tarragonhall_wire/_leader_client.py
@@ -1,4 +1,4 @@
-"""Talks to whichever member of a group leads, wherever the lead goes."""
+"""Client of a replicated group that finds its leader and follows leader changes."""
 
 from __future__ import annotations
 
@@ -20,55 +20,56 @@
 from tarragonhall_wire._context import ProcessContext
 from tarragonhall_wire._link import Link
 
-# One member that answers nothing must not use up the whole time of a request: the next is tried.
-# An election takes about this long, so a heartbeat finds the next leader before its lease ends.
+# An unresponsive member must not use up the whole timeout of a request: the next one is tried. An
+# election takes about this long, so a heartbeat finds the next leader before its lease ends.
 ATTEMPT_SECONDS = 1.0
 RETRY_SECONDS = 0.05
-# A machine without power closes no connection; only its silence tells. The first try waits for some
-# commits, so that by then the next leader is being elected, and each further one twice as long, for
-# a leader that is slow.
+# A machine without power closes no connection; it can be detected only by a timeout. The first
+# attempt waits for a few commits, so that by then the next leader is being elected; each further
+# attempt waits twice as long, for a slow leader. With 1 s for each attempt, turns that start as
+# their leader loses power are refused, although another one leads after 0.5 s.
 FIRST_ATTEMPT_SECONDS = 0.3
-# For how long a member that did not answer is asked last.
+# How long a member that did not answer is tried only after all others.
 AVOID_SECONDS = 1.0
 
 
 class UnavailableError(TarragonhallError):
-    """No control member led or answered in time; whether the command takes effect is unknown."""
+    """No leader answered in time; whether the command takes effect is unknown."""
 
 
 @dataclass(slots=True, frozen=True)
 class TimedReply:
-    """A reply, and when the request it answers was sent, in monotonic seconds."""
+    """A reply, and the monotonic time in seconds at which its request was sent."""
 
     reply: object
     sent_at: float
 
 
 @dataclass(slots=True, frozen=True)
-class OpenMember:
-    """A control member to which a link is open."""
+class ReachableMember:
+    """A group member with an open link."""
 
     address: str
     link: Link
 
 
 class LeaderClient:
-    """Asks the leader of one group; `addresses` returns where its members may be reached."""
+    """Sends requests to the leader of one group; `addresses` returns its members' addresses."""
 
-    __slots__ = ("_addresses", "_avoid_until_by_address", "_context", "_leader", "_next")
+    __slots__ = ("_addresses", "_avoid_until_by_address", "_context", "_leader", "_next_index")
 
     def __init__(self, context: ProcessContext, addresses: Callable[[], list[str]]) -> None:
         self._context = context
         self._addresses = addresses
         self._leader: str | None = None
-        self._next = 0
+        self._next_index = 0
         self._avoid_until_by_address: dict[str, float] = {}
 
     def propose(self, body: object, timeout_s: float, request_id: str | None = None) -> object:
         """Commit a command and return its result.
 
-        The request id stays the same over every resend, so that a command whose reply was lost
-        takes effect once.
+        The request id is the same for every resend, so that a command whose reply was lost takes
+        effect once.
         """
         request_id = request_id or new_id("req", self._context.rng)
         reply = self.ask(Propose(request_id, body), timeout_s)
@@ -77,61 +78,61 @@
         return reply.result
 
     def ask(self, message: object, timeout_s: float) -> object:
-        """Send a request to the leader until it is answered, or raise `UnavailableError`."""
-        return self.ask_timed(message, timeout_s).reply
+        """Send a request to the leader with retries; raise `UnavailableError` on timeout."""
+        return self.request_timed(message, timeout_s).reply
 
-    def ask_timed(self, message: object, timeout_s: float) -> TimedReply:
-        """Like `ask`, with the instant at which the request that was answered had been sent."""
+    def request_timed(self, message: object, timeout_s: float) -> TimedReply:
+        """Like `ask`; also return when the request that was answered was sent."""
         deadline = self._context.monotonic() + timeout_s
-        patience_s = FIRST_ATTEMPT_SECONDS
+        attempt_timeout_s = FIRST_ATTEMPT_SECONDS
         while True:
-            left = deadline - self._context.monotonic()
-            if left <= 0:
-                raise UnavailableError("no control member answered in time")
+            remaining_s = deadline - self._context.monotonic()
+            if remaining_s <= 0:
+                raise UnavailableError("no leader answered in time")
             member = self._choose_member()
             if member is None:
                 eventlet.sleep(RETRY_SECONDS)
                 continue
             sent_at = self._context.monotonic()
             try:
-                reply = member.link.request(message, min(left, patience_s))
+                reply = member.link.request(message, min(remaining_s, attempt_timeout_s))
             except LinkError:
-                patience_s = min(ATTEMPT_SECONDS, 2 * patience_s)
+                attempt_timeout_s = min(ATTEMPT_SECONDS, 2 * attempt_timeout_s)
                 self._avoid(member.address)
                 eventlet.sleep(RETRY_SECONDS)
                 continue
             self._avoid_until_by_address.pop(member.address, None)
             match reply:
                 case NotLeader(leader=leader):
-                    # Members go on naming a dead leader until the next one is elected.
+                    # Members keep naming a dead leader until the next one is elected.
                     self._leader = None if self._is_avoided(leader) else leader
                     eventlet.sleep(RETRY_SECONDS)
-                case Busy(retry_after_ms=pause_ms):
-                    eventlet.sleep(min(left, pause_ms / 1000))
+                case Busy(retry_after_ms=delay_ms):
+                    eventlet.sleep(min(remaining_s, delay_ms / 1000))
                 case _:
                     self._leader = member.address
                     return TimedReply(reply, sent_at)
 
-    def _choose_member(self) -> OpenMember | None:
-        """Return the leader, or the next member that can be reached at all.
+    def _choose_member(self) -> ReachableMember | None:
+        """Return the leader, or the next reachable member.
 
-        A member that is down must not hold a request up: while it is dialled again, the others are
-        asked. They are dialled only once no leader is known: links that carry nothing cost
-        heartbeats.
+        A member that is down must not delay a request: while it is redialled, the others are tried.
+        They are dialled only if no leader is known, because idle links cost heartbeats: 25 entries
+        with a link to each of ten members held 225 links that carried nothing else.
         """
         if self._leader is not None:
-            # It may be a member that joined after the addresses were learnt.
+            # The leader may have joined the group after the addresses were last updated.
             with contextlib.suppress(LinkError):
-                return OpenMember(self._leader, self._context.hub.link_to(self._leader))
+                return ReachableMember(self._leader, self._context.hub.link_to(self._leader))
         members = []
         for address in self._addresses():
             with contextlib.suppress(LinkError):
-                members.append(OpenMember(address, self._context.hub.link_to(address)))
+                members.append(ReachableMember(address, self._context.hub.link_to(address)))
         if not members:
             return None
-        heard = [one for one in members if not self._is_avoided(one.address)]
-        self._next += 1
-        return (heard or members)[self._next % len(heard or members)]
+        preferred = [member for member in members if not self._is_avoided(member.address)]
+        self._next_index += 1
+        return (preferred or members)[self._next_index % len(preferred or members)]
 
     def _avoid(self, address: str) -> None:
         self._leader = None
--- a/libs/wire/tarragonhall_wire/_line_writer.py
+++ b/libs/wire/tarragonhall_wire/_line_writer.py
@@ -1,8 +1,8 @@
-"""Writes log lines without ever waiting for whoever reads them.
+"""Writes log lines without blocking on their reader.
 
-Standard output is a pipe. When its reader stops, the pipe is full after 64 kB and the next write
-stops the whole process: every caller waits because nobody reads the logs. So lines wait in a
-bounded queue, and bytes are written only while the pipe has room for them.
+Log output goes to a pipe. If its reader stops, the pipe is full after 64 kB and the next write
+would block the whole process and all its callers. So lines are buffered in a bounded queue and
+written only while the pipe has room.
 """
 
 from __future__ import annotations
@@ -13,18 +13,18 @@
 import eventlet
 from eventlet import patcher
 
-# The patched ones would wait in the loop, for a reader that has gone even for ever.
+# The patched modules would wait in the event loop, for ever if the reader is gone.
 os = patcher.original("os")
 select = patcher.original("select")
 
-# A pipe that is ready to be written takes this much at once (POSIX calls it PIPE_BUF).
+# A pipe that is ready for writing accepts this much without blocking (PIPE_BUF in POSIX).
 CHUNK_BYTES = 4096
 QUEUE_BYTES = 256 * 1024
 FLUSH_SECONDS = 0.05
 
 
 class LineWriter:
-    """A bounded queue of lines before one file descriptor."""
+    """A bounded queue of lines for one file descriptor."""
 
     __slots__ = ("_descriptor", "_lines", "_on_dropped", "_size", "dropped")
 
@@ -36,11 +36,11 @@
         self.dropped = 0
 
     def start(self) -> None:
-        """Write from a green thread from now on."""
+        """Start writing in a green thread."""
         eventlet.spawn_n(self._flush_loop)
 
     def write(self, line: bytes) -> None:
-        """Queue a line; drop it where too much waits already."""
+        """Queue a line; drop and count it if the queue is full."""
         if self._size + len(line) > QUEUE_BYTES:
             self.dropped += 1
             self._on_dropped()
@@ -49,19 +49,19 @@
         self._size += len(line)
 
     def flush(self) -> None:
-        """Write what the reader has room for now."""
+        """Write as much as the pipe accepts without blocking."""
         while self._lines and self._has_room():
             chunk = self._next_chunk()
             try:
                 os.write(self._descriptor, chunk)
             except OSError:
-                # The reader is gone for good; nobody is left to be told.
+                # The reader is gone for good, so nothing can be reported.
                 self._lines.clear()
                 self._size = 0
                 return
 
     def _next_chunk(self) -> bytes:
-        """Return whole lines up to a chunk, or a part of one that is longer."""
+        """Return whole lines up to the chunk size, or part of a longer line."""
         parts = []
         room = CHUNK_BYTES
         while self._lines and len(self._lines[0]) <= room:
--- a/libs/wire/tarragonhall_wire/_link.py
+++ b/libs/wire/tarragonhall_wire/_link.py
@@ -1,4 +1,4 @@
-"""One authenticated connection to a peer, carrying requests, replies and one-way messages."""
+"""An authenticated connection to a peer that carries requests, replies and one-way messages."""
 
 from __future__ import annotations
 
@@ -24,15 +24,15 @@
 
 from tarragonhall_wire._handshake import Peer
 from tarragonhall_wire._timeline import HybridClock
-from tarragonhall_wire._traffic import Traffic, kind_of
+from tarragonhall_wire._traffic import Traffic, message_kind
 
 log = structlog.get_logger(__name__)
 
-# A link that carries nothing else costs about 2 x 60 bytes a second each way at this interval.
+# At this interval an idle link costs about 2 x 60 bytes per second in each direction.
 HEARTBEAT_SECONDS = 1.0
-# Three lost heartbeats: a firewall that forgot the connection drops packets without a reset, and
-# the kernel would go on sending again for minutes.
-SILENCE_SECONDS = 3.5
+# Three lost heartbeats. A firewall that has dropped the connection's state discards packets without
+# a reset, and the kernel would keep retransmitting for minutes.
+RECEIVE_TIMEOUT_SECONDS = 3.5
 SEND_QUEUE_MESSAGES = 10_000
 
 ONE_WAY, REQUEST, REPLY, FAILURE, PING = range(5)
@@ -41,16 +41,16 @@
 
 
 class Link:
-    """One connection. Messages keep their order each way; a closed link never opens again."""
+    """One connection. Messages stay in order in each direction; a closed link never reopens."""
 
     __slots__ = (
         "_clock",
         "_correlations",
         "_handler",
-        "_last_heard",
+        "_last_received",
         "_last_sent",
-        "_outbox",
         "_pending",
+        "_send_queue",
         "_socket",
         "_traffic",
         "_wake",
@@ -75,10 +75,10 @@
         self._clock = clock
         self._correlations = itertools.count(1)
         self._pending: dict[int, Event] = {}
-        self._outbox: collections.deque[bytes] = collections.deque()
+        self._send_queue: collections.deque[bytes] = collections.deque()
         self._wake = eventlet.semaphore.Semaphore(0)
         self._writer_waits = False
-        self._last_heard = self._last_sent = time.monotonic()
+        self._last_received = self._last_sent = time.monotonic()
         self.peer = peer
         self.closed = False
         self.sent_bytes = 0
@@ -86,7 +86,7 @@
 
     def send(self, message: object) -> None:
         """Queue a one-way message; whether it arrives is unknown."""
-        self._put(ONE_WAY, 0, to_plain(message))
+        self._enqueue(ONE_WAY, 0, to_plain(message))
 
     def request(self, message: object, timeout_s: float) -> object:
         """Send a request and wait for the reply."""
@@ -94,7 +94,7 @@
         waiter = Event()
         self._pending[correlation] = waiter
         try:
-            self._put(REQUEST, correlation, to_plain(message))
+            self._enqueue(REQUEST, correlation, to_plain(message))
             with eventlet.Timeout(timeout_s, False):
                 return waiter.wait()
             raise RequestTimeoutError(f"{self.peer.instance}: no reply in {timeout_s} s")
@@ -102,7 +102,7 @@
             self._pending.pop(correlation, None)
 
     def close(self) -> None:
-        """Close the link; every request still waiting fails with `LinkClosedError`."""
+        """Close the link; all pending requests fail with `LinkClosedError`."""
         if self.closed:
             return
         self.closed = True
@@ -126,27 +126,27 @@
         finally:
             self.close()
 
-    def _put(self, kind: int, correlation: int, plain: object) -> None:
+    def _enqueue(self, kind: int, correlation: int, plain: object) -> None:
         if self.closed:
             raise LinkClosedError(f"link to {self.peer.instance} is closed")
-        if len(self._outbox) >= SEND_QUEUE_MESSAGES:
+        if len(self._send_queue) >= SEND_QUEUE_MESSAGES:
             raise LinkOverloadedError(f"send queue to {self.peer.instance} is full")
         stamp = self._clock.now()
         data = cbor2.dumps([kind, correlation, stamp.wall_ms, stamp.counter, plain])
-        self._traffic.count(kind_of(plain), len(data), self.peer.availability_zone)
-        self._outbox.append(data)
+        self._traffic.count(message_kind(plain), len(data), self.peer.availability_zone)
+        self._send_queue.append(data)
         self._last_sent = time.monotonic()
         self._wake_writer()
 
     def _write_loop(self) -> None:
         while not self.closed:
-            if not self._outbox:
+            if not self._send_queue:
                 self._writer_waits = True
                 self._wake.acquire()
                 continue
-            # Everything queued goes in one write: under load most of the cost is the write itself.
-            messages = list(self._outbox)
-            self._outbox.clear()
+            # All queued messages go into one write: under load most of the cost is per write.
+            messages = list(self._send_queue)
+            self._send_queue.clear()
             try:
                 self._socket.send(*messages)
             except LinkClosedError:
@@ -165,22 +165,22 @@
             if self.closed:
                 return
             now = time.monotonic()
-            if now - self._last_heard > SILENCE_SECONDS:
+            if now - self._last_received > RECEIVE_TIMEOUT_SECONDS:
                 log.warning("link.silent", peer=self.peer.instance)
                 self.close()
                 return
             if now - self._last_sent < HEARTBEAT_SECONDS / 2:
-                # What was sent tells the peer as much.
+                # A message sent recently serves as a heartbeat.
                 continue
             try:
-                self._put(PING, 0, None)
+                self._enqueue(PING, 0, None)
             except LinkOverloadedError:
                 continue
 
     def _read_loop(self) -> None:
         while not self.closed:
             data = self._socket.recv()
-            self._last_heard = time.monotonic()
+            self._last_received = time.monotonic()
             self.received_bytes += len(data)
             self._receive(data)
 
@@ -189,7 +189,7 @@
             kind, correlation, wall_ms, counter, plain = cbor2.loads(data)
         except (cbor2.CBORDecodeError, ValueError, TypeError, EOFError) as error:
             raise CodecError(f"bad envelope: {error}") from error
-        self._clock.hear(wall_ms, counter)
+        self._clock.observe(wall_ms, counter)
         if kind == PING:
             return
         if kind in (REPLY, FAILURE):
@@ -197,12 +197,12 @@
             return
         message = from_plain(plain)
         if kind == REQUEST:
-            eventlet.spawn_n(self._answer, correlation, message)
+            eventlet.spawn_n(self._reply, correlation, message)
             return
         self._handle_one_way(message)
 
     def _handle_one_way(self, message: object) -> None:
-        # Handled in this thread so that one-way messages keep their order; handlers must not block.
+        # Handled in this thread to keep one-way messages in order; handlers must not block.
         try:
             self._handler(self, message)
         except TarragonhallError as error:
@@ -217,18 +217,18 @@
             return
         waiter.send(from_plain(plain))
 
-    def _answer(self, correlation: int, message: object) -> None:
+    def _reply(self, correlation: int, message: object) -> None:
         try:
             reply = self._handler(self, message)
-            self._put(REPLY, correlation, to_plain(reply))
+            self._enqueue(REPLY, correlation, to_plain(reply))
         except LinkClosedError:
             return
         except Exception as error:  # noqa: BLE001 - the peer must not wait for its timeout
             log.exception("link.request_failed", kind=type(message).__name__)
-            self._fail(correlation, f"{type(error).__name__}: {error}")
+            self._reply_failure(correlation, f"{type(error).__name__}: {error}")
 
-    def _fail(self, correlation: int, text: str) -> None:
+    def _reply_failure(self, correlation: int, text: str) -> None:
         try:
-            self._put(FAILURE, correlation, text)
+            self._enqueue(FAILURE, correlation, text)
         except (LinkClosedError, LinkOverloadedError):
             return
--- a/libs/wire/tarragonhall_wire/_metrics.py
+++ b/libs/wire/tarragonhall_wire/_metrics.py
@@ -1,4 +1,4 @@
-"""Counters, gauges and timings: by statsd where its address is set, and as text when asked for."""
+"""Counters, gauges and timings, sent to statsd if its address is set and exposed as text."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 class Metrics:
     """Metrics of one process; `counts` holds every counter since the start.
 
-    The values of `labels` come from fixed sets, such as statuses.
+    The values of `labels` must come from fixed sets, such as statuses.
     """
 
     __slots__ = ("_client", "counts", "exposition")
@@ -45,7 +45,7 @@
 
 
 def make_metrics(host: str | None, port: int, instance: str) -> Metrics:
-    """Return the metrics of this process; `host` is None where no statsd server is set."""
+    """Return the metrics of this process; without a statsd server, `host` is None."""
     if host is None:
         return Metrics()
     prefix = f"{PREFIX}.{instance.replace('.', '_')}"
--- a/libs/wire/tarragonhall_wire/_timeline.py
+++ b/libs/wire/tarragonhall_wire/_timeline.py
@@ -1,4 +1,4 @@
-"""The time line of one process: a bounded ring of events with hybrid logical stamps."""
+"""The timeline of one process: a ring buffer of events with hybrid logical clock stamps."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class HybridClock:
-    """A hybrid logical clock: close to wall time, and never behind anything it has heard of."""
+    """A hybrid logical clock: close to wall time, and never behind an observed stamp."""
 
     __slots__ = ("_counter", "_instance", "_wall_ms", "_wall_source")
 
@@ -22,7 +22,7 @@
         self._counter = 0
 
     def now(self) -> Stamp:
-        """Return a stamp after every stamp returned or heard so far."""
+        """Return a stamp later than every stamp returned or observed so far."""
         wall_ms = int(self._wall_source() * 1000)
         if wall_ms > self._wall_ms:
             self._wall_ms = wall_ms
@@ -31,8 +31,8 @@
             self._counter += 1
         return Stamp(self._wall_ms, self._counter, self._instance)
 
-    def hear(self, wall_ms: int, counter: int) -> None:
-        """Move past a stamp that came with a message."""
+    def observe(self, wall_ms: int, counter: int) -> None:
+        """Advance to the stamp of a received message if it is ahead."""
         if (wall_ms, counter) <= (self._wall_ms, self._counter):
             return
         self._wall_ms = wall_ms
@@ -50,7 +50,7 @@
         self._dropped = 0
 
     def add(self, kind: str, program_id: str = "", **fields: object) -> None:
-        """Record an event; field values are kept as text."""
+        """Record an event; field values are stored as text."""
         if len(self._events) == self._events.maxlen:
             self._dropped += 1
         text_fields = {name: str(value) for name, value in fields.items()}
--- a/libs/wire/tarragonhall_wire/_traffic.py
+++ b/libs/wire/tarragonhall_wire/_traffic.py
@@ -1,4 +1,4 @@
-"""Counts the bytes of a process, by kind of message and whether it leaves the availability zone."""
+"""Counts the bytes of a process by message kind and by whether they leave the availability zone."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 
 log = structlog.get_logger(__name__)
 
-# Seconds between two log lines with the totals; a process that is killed loses what came after.
+# Interval of the log lines with the totals; a killed process loses what it counted since the last.
 REPORT_SECONDS = 10.0
-# Fields of a message that carry another one, which tells more of what the bytes were for.
-CARRIERS = ("body", "message", "result")
+# Fields that hold an embedded message, whose name identifies the purpose of the bytes better.
+EMBEDDING_FIELDS = ("body", "message", "result")
 HEARTBEAT_KIND = "ping"
 INSIDE, BETWEEN, UNKNOWN = "inside", "between", "unknown"
 
 
 @dataclass(slots=True)
 class Total:
-    """Messages and their bytes, without what the transport adds."""
+    """Number of messages and their bytes, without transport overhead."""
 
     messages: int = 0
     size: int = 0
 
 
 class Traffic:
-    """What one process has sent over its links, and exchanged with backend servers."""
+    """Traffic that one process has sent over its links and exchanged with backend servers."""
 
     __slots__ = ("_exposition", "_total_by_key", "_zone")
 
@@ -38,7 +38,7 @@
         self._total_by_key: dict[tuple[str, str], Total] = {}
 
     def count(self, kind: str, size: int, peer_zone: str) -> None:
-        """Count one message of `size` bytes; an empty zone is one that is not known."""
+        """Count one message of `size` bytes; an empty `peer_zone` means an unknown zone."""
         scope = self._scope(peer_zone)
         total = self._total_by_key.get((kind, scope))
         if total is None:
@@ -51,7 +51,7 @@
             self._exposition.count("traffic.bytes", size, labels)
 
     def totals(self) -> dict[str, list[int]]:
-        """Return messages and bytes by `KIND SCOPE`."""
+        """Return the numbers of messages and bytes by `KIND SCOPE`."""
         return {
             f"{kind} {scope}": [total.messages, total.size]
             for (kind, scope), total in sorted(self._total_by_key.items())
@@ -63,26 +63,26 @@
         return INSIDE if peer_zone == self._zone else BETWEEN
 
 
-def kind_of(plain: object) -> str:
-    """Return the name of a message in its plain form, with the message that it carries."""
+def message_kind(plain: object) -> str:
+    """Return the name of a message in its plain form, with that of its embedded message."""
     if not _is_record(plain):
         return HEARTBEAT_KIND if plain is None else "value"
-    for carrier in CARRIERS:
-        inner = plain[1].get(carrier)
-        if _is_record(inner):
-            return f"{plain[0]}.{inner[0]}"
+    for field in EMBEDDING_FIELDS:
+        embedded = plain[1].get(field)
+        if _is_record(embedded):
+            return f"{plain[0]}.{embedded[0]}"
     return plain[0]
 
 
 def report_traffic(traffic: Traffic, incarnation: str) -> None:
-    """Write the totals since the start as a log line; later lines replace earlier ones."""
+    """Log the totals since the start; later lines supersede earlier ones."""
     totals = traffic.totals()
     if totals:
         log.info("process.traffic", incarnation=incarnation, totals=totals)
 
 
 def report_regularly(traffic: Traffic, incarnation: str) -> None:
-    """Write the totals now and then, from a green thread, for as long as the process runs."""
+    """Log the totals every `REPORT_SECONDS` for ever; call in a green thread."""
     while True:
         eventlet.sleep(REPORT_SECONDS)
         report_traffic(traffic, incarnation)
--- a/libs/wire/tests/control_client_tests.py
+++ b/libs/wire/tests/control_client_tests.py
@@ -16,8 +16,8 @@
 SERVER = ServerRecord("desk-1", "life", "127.0.0.1:1", "zone", ServerKind.SERVICE, ["desk"])
 
 
-class Silent:
-    """A follower that takes nothing in."""
+class PassiveFollower:
+    """A follower that ignores all updates."""
 
     settings_revision = 0
 
@@ -25,13 +25,13 @@
         self.view = View(0, [], [])
 
 
-def test_an_entry_that_leaves_does_not_silence_the_sidecar_of_its_process():
-    # One process holds an entry and a sidecar, and the entry is drained first. If its leaving ended
-    # the sidecar's heartbeats as well, the server would be taken for dead while it still works.
-    beats = []
+def test_an_entry_that_leaves_does_not_stop_the_heartbeats_of_the_sidecar_of_its_process():
+    # One process runs an entry and a sidecar, and the entry is drained first. If leaving stopped
+    # the sidecar's heartbeats as well, the server would be considered dead while it still works.
+    nodes = []
 
-    def on_heartbeat(_link, beat: Heartbeat) -> Proposed:
-        beats.append(beat.node)
+    def on_heartbeat(_link, heartbeat: Heartbeat) -> Proposed:
+        nodes.append(heartbeat.node)
         return Proposed(None)
 
     context = make_context(
@@ -42,11 +42,11 @@
     port = context.hub.port
     context.control_addresses.append(f"127.0.0.1:{port}")
     client = ControlClient(context)
-    client.follow(lambda: ENTRY, Silent())
-    client.follow(lambda: SERVER, Silent())
+    client.follow(lambda: ENTRY, PassiveFollower())
+    client.follow(lambda: SERVER, PassiveFollower())
     eventlet.sleep(0.1)
     client.leave(ENTRY, 1.0)
-    beats.clear()
+    nodes.clear()
     eventlet.sleep(1.2)
     context.hub.stop()
-    assert {type(node) for node in beats} == {ServerRecord}
+    assert {type(node) for node in nodes} == {ServerRecord}
--- a/libs/wire/tests/http_tests.py
+++ b/libs/wire/tests/http_tests.py
@@ -20,13 +20,13 @@
 
 @pytest.fixture
 def server():
-    made = HttpServer("127.0.0.1:0", on_error)
-    made.route("GET", "/items/{name}", lambda request: HttpResponse(200, request.parts))
-    made.route("POST", "/echo", lambda request: HttpResponse(200, request.json()))
-    made.route("GET", "/slow", slow)
-    made.start()
-    yield made
-    made.stop(0.1)
+    http_server = HttpServer("127.0.0.1:0", on_error)
+    http_server.route("GET", "/items/{name}", lambda request: HttpResponse(200, request.parts))
+    http_server.route("POST", "/echo", lambda request: HttpResponse(200, request.json()))
+    http_server.route("GET", "/slow", slow)
+    http_server.start()
+    yield http_server
+    http_server.stop(0.1)
 
 
 def slow(_request) -> HttpResponse:
@@ -46,7 +46,7 @@
         received += part
 
 
-def test_routes_give_the_parts_of_the_path(server):
+def test_handlers_get_the_parameters_of_the_path(server):
     response = urllib3.request("GET", f"http://127.0.0.1:{server.port}/items/a-1")
     assert response.json() == {"name": "a-1"}
 
@@ -54,26 +54,26 @@
 @pytest.mark.parametrize(
     ("method", "path", "status"), [("GET", "/none", 404), ("DELETE", "/echo", 405)]
 )
-def test_what_no_route_takes_is_refused(server, method, path, status):
+def test_a_request_without_a_route_is_rejected(server, method, path, status):
     response = urllib3.request(method, f"http://127.0.0.1:{server.port}{path}", retries=False)
     assert response.status == status
 
 
 @pytest.mark.parametrize("body", [b"{", b"[1]", b"\xff\xfe", b"[" * 100_000])
-def test_a_body_that_is_no_json_object_is_refused_with_a_finding(server, body):
+def test_a_body_that_is_not_a_json_object_is_rejected_with_a_finding(server, body):
     response = urllib3.request("POST", f"http://127.0.0.1:{server.port}/echo", body=body)
     assert response.status == 400
     assert response.json()["findings"]
 
 
-def test_a_body_shorter_than_its_length_is_refused(server):
-    # The caller's connection breaks in the middle of its body. Half a call must not run.
+def test_a_body_shorter_than_its_content_length_is_rejected(server):
+    # The caller's connection breaks in the middle of the body. A truncated call must not run.
     request = b"POST /echo HTTP/1.1\r\nHost: a\r\nContent-Length: 50\r\n\r\n{}"
     assert b" 400 " in raw_exchange(server, request).split(b"\r\n")[0]
 
 
 def test_events_arrive_one_by_one(server):
-    # The server library gathers small chunks; a stream of tokens would arrive whole at its end.
+    # The server library buffers small chunks; a stream of tokens would arrive only at its end.
     gate = eventlet.event.Event()
 
     def events():
@@ -92,18 +92,18 @@
     assert b'data: {"text":"b"}' in response.read()
 
 
-def test_a_stop_finishes_the_request_at_hand(server):
+def test_a_stop_finishes_requests_in_flight(server):
     # The instance is replaced while a caller waits for its answer. Closing the connection would
-    # lose an answer that is nearly there.
-    asked = eventlet.spawn(urllib3.request, "GET", f"http://127.0.0.1:{server.port}/slow")
+    # lose an answer that is almost complete.
+    request = eventlet.spawn(urllib3.request, "GET", f"http://127.0.0.1:{server.port}/slow")
     eventlet.sleep(0.1)
     assert server.stop(3)
-    assert asked.wait().json() == "slow"
+    assert request.wait().json() == "slow"
 
 
-def test_a_stop_serves_the_connections_that_the_kernel_had_accepted(server):
-    # Connections wait in the accept backlog when the stop begins. Their callers believe that they
-    # are served; closing the listener would reset them.
+def test_a_stop_serves_the_connections_in_the_accept_backlog(server):
+    # Connections wait in the accept backlog when the stop begins. Their callers expect to be
+    # served; closing the listener would reset them.
     connections = [socket.create_connection(("127.0.0.1", server.port)) for _ in range(20)]
     for connection in connections:
         connection.sendall(b"GET /slow HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -112,9 +112,9 @@
     assert all(answer.startswith(b"HTTP/1.1 200") for answer in answers)
 
 
-def test_a_stop_ends_although_a_balancer_goes_on_probing(server):
-    # A balancer probes the instance several times a second on new connections, and a client keeps
-    # one open. The stop must not wait for a pause between the probes: there is none.
+def test_a_stop_ends_although_a_load_balancer_keeps_probing(server):
+    # A load balancer probes the instance several times a second on new connections, and a client
+    # keeps one open. The stop must not wait until the probes cease, because they never do.
     idle = socket.create_connection(("127.0.0.1", server.port))
 
     def probe() -> None:
@@ -123,22 +123,22 @@
                 urllib3.request("GET", f"http://127.0.0.1:{server.port}/items/a", retries=False)
                 eventlet.sleep(0.05)
 
-    probing = eventlet.spawn(probe)
+    prober = eventlet.spawn(probe)
     eventlet.sleep(0.1)
     assert server.stop(3)
-    probing.kill()
+    prober.kill()
     idle.close()
 
 
-def test_while_draining_each_response_asks_to_close_the_connection(server):
+def test_during_a_drain_each_response_closes_the_connection(server):
     server.drain()
     response = urllib3.request("GET", f"http://127.0.0.1:{server.port}/items/a")
     assert response.headers["Connection"] == "close"
 
 
-def test_a_kept_open_connection_is_served_once_more_during_the_drain(server):
+def test_a_persistent_connection_is_served_once_more_during_the_drain(server):
     # A client keeps its connection open between calls and sends the next one after the drain has
-    # begun. It is answered, and told to close.
+    # begun. It is answered with `Connection: close`.
     pool = urllib3.HTTPConnectionPool("127.0.0.1", server.port, maxsize=1)
     assert pool.request("GET", "/items/a").status == 200
     server.drain()
@@ -146,7 +146,7 @@
     assert (response.status, response.headers["Connection"]) == (200, "close")
 
 
-def test_an_error_of_a_handler_becomes_a_response(server):
+def test_an_error_in_a_handler_becomes_a_response(server):
     def broken(_request):
         raise RuntimeError("no")
 
@@ -155,9 +155,9 @@
     assert (response.status, json.loads(response.data)) == (500, {"message": "no"})
 
 
-def test_a_second_server_on_the_same_address_is_refused():
-    # Two daemons are started on one settings file. If both listened, callers would reach either,
-    # and a drain of one would look as if nothing had happened.
+def test_a_second_server_on_the_same_address_is_rejected():
+    # Two daemons are started with one settings file. If both listened, callers would reach either,
+    # and a drain of one would seem to have no effect.
     address = free_address()
     first = HttpServer(address, on_error)
     with pytest.raises(OSError, match="in use"):
--- a/libs/wire/tests/leader_client_tests.py
+++ b/libs/wire/tests/leader_client_tests.py
@@ -1,4 +1,4 @@
-"""Who is asked while a group has a leader, loses it, or has a slow one."""
+"""Which members get requests while a group has a leader, loses it, or has a slow one."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class Group:
-    """Three members on a clock of their own; `reply_by_address` says how each answers."""
+    """Three members with a simulated clock; `reply_by_address` holds the reply of each."""
 
     def __init__(self) -> None:
         self.now = 0.0
         self.reply_by_address = dict.fromkeys(MEMBERS, NotLeader(None))
-        # After which time each answers; None for a machine without power.
+        # Reply delay of each member; None for a machine without power.
         self.delay_by_address: dict[str, float | None] = dict.fromkeys(MEMBERS, 0.001)
-        self.asked: list[str] = []
+        self.requested: list[str] = []
         hub = SimpleNamespace(link_to=self.link_to)
         context = SimpleNamespace(hub=hub, rng=random.Random(1), monotonic=lambda: self.now)
         self.client = LeaderClient(context, lambda: MEMBERS)
@@ -30,7 +30,7 @@
         return SimpleNamespace(request=lambda message, timeout_s: self.answer(address, timeout_s))
 
     def answer(self, address: str, timeout_s: float) -> object:
-        self.asked.append(address)
+        self.requested.append(address)
         delay = self.delay_by_address[address]
         if delay is None or delay > timeout_s:
             self.now += timeout_s
@@ -44,14 +44,14 @@
 
 @pytest.fixture
 def group(monkeypatch) -> Group:
-    made = Group()
-    monkeypatch.setattr(module.eventlet, "sleep", made.sleep)
-    return made
+    simulated = Group()
+    monkeypatch.setattr(module.eventlet, "sleep", simulated.sleep)
+    return simulated
 
 
 def test_a_leader_without_power_costs_a_request_less_than_half_a_second(group):
-    # The leader of the stores loses its power and half a second later another one leads. A turn
-    # that had asked the dead one waited a second for it, asked it once more, and was refused.
+    # The leader of the stores loses power and half a second later another one leads. A turn that
+    # waited 1 s for the dead leader and then tried it once more would be refused.
     group.reply_by_address["a:1"] = Proposed("old")
     assert group.client.propose("x", 1.5, "r-1") == "old"
     started = group.now
@@ -60,12 +60,12 @@
     group.reply_by_address["c:1"] = NotLeader("a:1")
     assert group.client.propose("x", 1.5, "r-2") == "new"
     assert group.now - started < 0.5
-    assert group.asked.count("a:1") == 2
+    assert group.requested.count("a:1") == 2
 
 
-def test_a_slow_leader_is_waited_for(group):
-    # The leader's machine is slow and needs more than the first patience for a commit. Turned away
-    # from each time it would never answer anybody.
+def test_a_slow_leader_gets_longer_timeouts(group):
+    # The leader's machine is slow and a commit takes longer than the first attempt's timeout. If
+    # later attempts did not wait longer, every request would be abandoned before its reply.
     group.delay_by_address["a:1"] = 0.5
     group.reply_by_address["a:1"] = Proposed("late")
     group.reply_by_address["b:1"] = group.reply_by_address["c:1"] = NotLeader("a:1")
@@ -73,7 +73,7 @@
     assert group.now < 2.5
 
 
-def test_without_any_leader_the_request_ends_in_its_time(group):
+def test_without_a_leader_the_request_times_out(group):
     with pytest.raises(UnavailableError):
         group.client.propose("x", 1.0, "r-1")
     assert 1.0 <= group.now < 1.2
--- a/libs/wire/tests/links_tests.py
+++ b/libs/wire/tests/links_tests.py
@@ -14,7 +14,7 @@
     RequestTimeoutError,
 )
 from tarragonhall_wire import make_context, make_metrics
-from tarragonhall_wire._link import SEND_QUEUE_MESSAGES, SILENCE_SECONDS
+from tarragonhall_wire._link import RECEIVE_TIMEOUT_SECONDS, SEND_QUEUE_MESSAGES
 
 
 @pytest.fixture
@@ -22,22 +22,22 @@
     started = []
 
     def make(name: str):
-        made = make_context(
+        context = make_context(
             name, "tx-austin", free_address(), [], b"secret", make_metrics(None, 0, name)
         )
-        started.append(made)
-        return made
+        started.append(context)
+        return context
 
     yield make
-    for made in started:
-        made.hub.stop()
+    for context in started:
+        context.hub.stop()
 
 
 def echo(_link, query: QueryLiving) -> Living:
     return Living(query.program_ids)
 
 
-def test_requests_are_answered_each_with_its_own_reply_although_they_overtake_each_other(start):
+def test_each_request_gets_its_own_reply_although_replies_are_out_of_order(start):
     one, two = start("one"), start("two")
 
     def slow_first(_link, query: QueryLiving) -> Living:
@@ -46,8 +46,8 @@
 
     two.hub.handle(QueryLiving, slow_first)
     link = one.hub.wait_for(two.link_address, 2)
-    asked = [eventlet.spawn(link.request, QueryLiving([f"prog-{n}"]), 2) for n in range(5)]
-    assert [thread.wait().program_ids for thread in asked] == [[f"prog-{n}"] for n in range(5)]
+    requests = [eventlet.spawn(link.request, QueryLiving([f"prog-{n}"]), 2) for n in range(5)]
+    assert [request.wait().program_ids for request in requests] == [[f"prog-{n}"] for n in range(5)]
 
 
 def test_one_way_messages_keep_their_order(start):
@@ -62,43 +62,43 @@
     assert received == list(range(200))
 
 
-def test_a_link_that_falls_silent_without_a_reset_is_closed_and_dialled_again(start):
-    # Something between two instances forgets the connection: packets vanish and no reset comes.
-    # A caller would wait for the whole timeout of each call, on a connection that is dead, while
-    # new connections work.
+def test_a_link_that_becomes_silent_without_a_reset_is_closed_and_redialled(start):
+    # A firewall between two instances drops the connection's state: packets vanish without a reset.
+    # Callers would wait for the whole timeout of each call on the dead connection, while new
+    # connections work.
     one, two = start("one"), start("two")
     two.hub.handle(QueryLiving, echo)
     relay = Relay(two.link_address)
     link = one.hub.wait_for(relay.address, 2)
     relay.silence()
-    begun = time.monotonic()
+    started_at = time.monotonic()
     with pytest.raises(LinkClosedError):
         link.request(QueryLiving(["prog-1"]), 10)
-    assert time.monotonic() - begun < SILENCE_SECONDS + 2
+    assert time.monotonic() - started_at < RECEIVE_TIMEOUT_SECONDS + 2
     again = one.hub.wait_for(relay.address, 3)
     assert again.request(QueryLiving(["prog-1"]), 2) == Living(["prog-1"])
     relay.stop()
 
 
 def test_a_link_that_is_silent_in_one_direction_only_is_closed_at_both_ends(start):
-    # Only the answers vanish. The end that still hears its peer must not go on taking work over a
-    # connection whose results nobody receives.
+    # Only packets in one direction vanish. The end that still receives must not keep accepting work
+    # over a connection on which its results are lost.
     one, two = start("one"), start("two")
     down = []
     two.hub.on_down(lambda link: down.append(link.peer.instance))
     relay = Relay(two.link_address)
     one.hub.wait_for(relay.address, 2)
     relay.silence(forth=False, back=True)
-    with eventlet.Timeout(SILENCE_SECONDS * 2 + 2):
+    with eventlet.Timeout(RECEIVE_TIMEOUT_SECONDS * 2 + 2):
         while not down:
             eventlet.sleep(0.05)
     assert down == ["one"]
     relay.stop()
 
 
-def test_a_peer_that_ends_in_the_middle_of_a_request_is_told_at_once(start):
-    # The process at the other end is killed while it works on a request. Waiting for the timeout
-    # would cost the caller all the time that another attempt needs.
+def test_a_pending_request_fails_at_once_when_the_peer_closes_the_link(start):
+    # The process at the other end is killed while it handles a request. Waiting for the timeout
+    # would use up the time that the caller needs for another attempt.
     one, two = start("one"), start("two")
 
     def never(_link, _query) -> None:
@@ -106,16 +106,16 @@
 
     two.hub.handle(QueryLiving, never)
     link = one.hub.wait_for(two.link_address, 2)
-    asked = eventlet.spawn(link.request, QueryLiving([]), 20)
+    request = eventlet.spawn(link.request, QueryLiving([]), 20)
     eventlet.sleep(0.05)
     two.hub.stop()
-    begun = time.monotonic()
+    started_at = time.monotonic()
     with pytest.raises(LinkClosedError):
-        asked.wait()
-    assert time.monotonic() - begun < 2
+        request.wait()
+    assert time.monotonic() - started_at < 2
 
 
-def test_a_handler_that_fails_answers_with_its_error_at_once(start):
+def test_the_error_of_a_handler_is_returned_to_the_peer_at_once(start):
     one, two = start("one"), start("two")
 
     def fail(_link, _query) -> None:
@@ -128,7 +128,7 @@
     assert not link.closed
 
 
-def test_a_request_without_a_reply_ends_with_its_timeout(start):
+def test_a_request_without_a_reply_times_out(start):
     one, two = start("one"), start("two")
     two.hub.handle(QueryLiving, lambda _link, _query: eventlet.sleep(5))
     link = one.hub.wait_for(two.link_address, 2)
@@ -136,9 +136,9 @@
         link.request(QueryLiving([]), 0.1)
 
 
-def test_a_full_send_queue_refuses_instead_of_growing(start):
-    # The peer stops reading, for example because it is paused. Without a bound the sender's memory
-    # would grow until it dies as well.
+def test_a_full_send_queue_rejects_messages(start):
+    # The peer stops reading, for example because it is paused. Without a limit the sender's queue
+    # would grow until it runs out of memory.
     one, two = start("one"), start("two")
     relay = Relay(two.link_address)
     link = one.hub.wait_for(relay.address, 2)
@@ -148,24 +148,24 @@
     relay.stop()
 
 
-def test_a_second_process_on_the_same_address_is_refused(start):
-    # An operator starts the same settings file twice. Were both to listen, the kernel would spread
-    # connections over them, and peers would talk to two processes under one name.
+def test_a_second_process_on_the_same_address_is_rejected(start):
+    # An operator starts two processes with the same settings file. If both listened, the kernel
+    # would distribute connections over them, and peers would reach two processes under one name.
     one = start("one")
     with pytest.raises(OSError, match="in use"):
         make_context("two", "zone", one.link_address, [], b"secret", make_metrics(None, 0, "two"))
 
 
 def test_two_peers_that_both_send_more_than_the_buffers_hold_do_not_block_each_other(start):
-    # Two control members send each other snapshots. Each one's writer waits until the other reads;
-    # if a reader waited for its own writer, neither would read, and the link would be taken for
-    # silent under load.
+    # Two control members send each other snapshots. Each writer waits until the peer reads; if a
+    # reader waited for its own writer, neither would read, and the link would be closed as silent
+    # under load.
     one, two = start("one"), start("two")
-    got = {"one": 0, "two": 0}
+    received_by_name = {"one": 0, "two": 0}
 
     def counter(name: str):
         def count(_link, _chunk) -> None:
-            got[name] += 1
+            received_by_name[name] += 1
 
         return count
 
@@ -174,36 +174,36 @@
     link = one.hub.wait_for(two.link_address, 2)
     back = two.hub.accepted[0]
     text = "x" * 200_000
-    with eventlet.Timeout(SILENCE_SECONDS * 2):
+    with eventlet.Timeout(RECEIVE_TIMEOUT_SECONDS * 2):
         for index in range(100):
             link.send(Chunk("prog-1/1/1", index, text))
             back.send(Chunk("prog-1/1/1", index, text))
-        while got != {"one": 100, "two": 100}:
+        while received_by_name != {"one": 100, "two": 100}:
             eventlet.sleep(0.01)
 
 
-def test_two_processes_that_want_each_other_share_one_link(start):
-    # Each of many entries has news for each other one. With a link each way, a deployment of 25
-    # entries held 600 links, and every one of them costs heartbeats at both of its ends.
+def test_two_processes_that_dial_each_other_share_one_link(start):
+    # Each entry sends updates to all others. With a link in each direction, a deployment of 25
+    # entries held 600 links, each of which costs heartbeats at both ends.
     one, two = start("one"), start("two")
     one.hub.wait_for(two.link_address, 2)
     two.hub.wait_for(one.link_address, 2)
     assert len(one.hub.links()) == len(two.hub.links()) == 1
 
 
-def test_a_process_that_dials_is_reached_before_the_next_dial_to_it(start):
-    # All processes were killed, and one dialled the other before it listened. Until it dials again
-    # nothing it sends arrives: a leader that every voter would elect waits, and so do all calls.
+def test_a_process_that_has_dialled_is_reachable_before_the_next_dial_to_it(start):
+    # All processes were killed, and one dialled the other before it listened. If it waited for its
+    # next dial, nothing it sends would arrive meanwhile, which delays an election and all calls.
     one, two = start("one"), start("two")
     address = two.link_address
     two.hub.handle(QueryLiving, echo)
-    one.hub._wanted.add(address)
+    one.hub._dial_targets.add(address)
     two.hub.wait_for(one.link_address, 2)
     assert one.hub.link_to(address).request(QueryLiving(["prog-1"]), 2).program_ids == ["prog-1"]
 
 
-def test_a_link_that_the_peer_dialled_is_followed_by_one_of_our_own(start):
-    # The peer closes the link that it had dialled. What is sent next must find another.
+def test_a_closed_link_that_the_peer_had_dialled_is_replaced_by_dialling(start):
+    # The peer closes the link that it had dialled. The next message must open another link.
     one, two = start("one"), start("two")
     two.hub.handle(QueryLiving, echo)
     link = two.hub.wait_for(one.link_address, 2)
--- a/libs/wire/tests/logs_tests.py
+++ b/libs/wire/tests/logs_tests.py
@@ -1,4 +1,4 @@
-"""Log lines under load, and a reader that has stopped."""
+"""Log lines under load and with a blocked reader, and the metrics text format."""
 
 from __future__ import annotations
 
@@ -9,43 +9,43 @@
 from tarragonhall_wire._exposition import Exposition
 from tarragonhall_wire._line_writer import QUEUE_BYTES, LineWriter
 from tarragonhall_wire._log_budget import LineKind, LogBudget
-from tarragonhall_wire._logs import Bounded, _without_secrets, kind_of
+from tarragonhall_wire._logs import BudgetedLogWriter, _redact_secrets, line_kind
 
 
-def test_failures_are_written_while_served_calls_flood():
-    # Thousands of served calls a second, and a few that fail. Without their lines on-call engineers
-    # could not tell why.
+def test_failures_are_logged_during_a_flood_of_served_calls():
+    # Thousands of calls per second are served and a few fail. Without the lines of the failures,
+    # on-call engineers could not find their cause.
     budget = LogBudget(lines=100)
     for number in range(1_000):
         budget.admit(LineKind.SERVED, f"id-{number}", 100, 0.0)
     assert all(budget.admit(LineKind.FAILURE, f"f-{n}", 100, 0.5) for n in range(50))
-    assert budget.take_left_out()["served"] >= 950
+    assert budget.take_suppressed()["served"] >= 950
 
 
-def test_no_kind_goes_beyond_the_bound():
+def test_no_kind_exceeds_the_limit():
     budget = LogBudget(lines=100, size=10_000)
     written = sum(budget.admit(LineKind.FAILURE, "", 50, 0.0) for _ in range(1_000))
     assert written == 100
     assert sum(budget.admit(LineKind.FAILURE, "", 5_000, 2.0) for _ in range(10)) == 2
 
 
-def test_all_processes_keep_the_same_served_calls():
-    # The life of one call is spread over processes. Drawn by each for itself, hardly any call would
-    # have all of its lines.
+def test_all_processes_log_the_same_served_calls():
+    # Several processes handle one call. If each sampled independently, hardly any call would have
+    # all of its lines.
     budgets = [LogBudget(lines=100) for _ in range(2)]
     for budget in budgets:
         for number in range(400):
             budget.admit(LineKind.SERVED, f"id-{number}", 10, 0.0)
-    kept = [
+    logged = [
         [n for n in range(60) if budget.admit(LineKind.SERVED, f"new-{n}", 10, 1.5)]
         for budget in budgets
     ]
-    assert kept[0] == kept[1]
-    assert 0 < len(kept[0]) < 60
+    assert logged[0] == logged[1]
+    assert 0 < len(logged[0]) < 60
 
 
-def test_a_reader_that_has_stopped_blocks_nobody():
-    # Whoever reads the logs hangs. A process that waited for it would answer no caller any more.
+def test_a_blocked_log_reader_does_not_block_the_process():
+    # The reader of the logs hangs. A process that waited for it would stop answering callers.
     reader, descriptor = os.pipe()
     writer = LineWriter(descriptor)
     line = b"x" * 999 + b"\n"
@@ -54,42 +54,42 @@
             writer.write(line)
             writer.flush()
     assert writer.dropped > 0
-    held = os.read(reader, 1_000_000)
-    while len(held) < QUEUE_BYTES:
+    data = os.read(reader, 1_000_000)
+    while len(data) < QUEUE_BYTES:
         writer.flush()
-        held += os.read(reader, 1_000_000)
-    assert set(held.split(b"\n")[:-1]) == {line[:-1]}
+        data += os.read(reader, 1_000_000)
+    assert set(data.split(b"\n")[:-1]) == {line[:-1]}
     os.close(reader)
     writer.flush()
     os.close(descriptor)
 
 
-def test_what_was_left_out_is_counted_in_a_line():
+def test_suppressed_lines_are_counted_in_a_line():
     reader, descriptor = os.pipe()
     writer = LineWriter(descriptor)
-    bounded = Bounded("entry-1", LogBudget(lines=2), writer)
+    log_writer = BudgetedLogWriter("entry-1", LogBudget(lines=2), writer)
     for number in range(5):
-        bounded(None, "info", {"event": "change", "id": number, "level": "info"})
-    bounded._told_at = 0.0
-    bounded(None, "info", {"event": "change", "level": "info"})
+        log_writer(None, "info", {"event": "change", "id": number, "level": "info"})
+    log_writer._reported_at = 0.0
+    log_writer(None, "info", {"event": "change", "level": "info"})
     writer.flush()
     lines = [json.loads(one) for one in os.read(reader, 100_000).splitlines()]
     assert {one["instance"] for one in lines} == {"entry-1"}
     assert sum(one.get("change", 0) for one in lines if one["event"] == "log.left_out") >= 4
 
 
-def test_secrets_do_not_reach_a_line():
-    assert _without_secrets(None, "", {"event": "x", "key": "abc"})["key"] == "left out"
+def test_secrets_are_redacted():
+    assert _redact_secrets(None, "", {"event": "x", "key": "abc"})["key"] == "left out"
 
 
-def test_refusals_and_broken_answers_count_as_failures():
-    assert kind_of({"event": "call.end", "status": 200}) is LineKind.SERVED
-    assert kind_of({"event": "call.end", "status": 503}) is LineKind.FAILURE
-    assert kind_of({"event": "call.end", "status": None}) is LineKind.FAILURE
-    assert kind_of({"event": "link.up", "level": "info"}) is LineKind.CHANGE
+def test_refusals_and_incomplete_answers_count_as_failures():
+    assert line_kind({"event": "call.end", "status": 200}) is LineKind.SERVED
+    assert line_kind({"event": "call.end", "status": 503}) is LineKind.FAILURE
+    assert line_kind({"event": "call.end", "status": None}) is LineKind.FAILURE
+    assert line_kind({"event": "link.up", "level": "info"}) is LineKind.CHANGE
 
 
-def test_metrics_are_told_in_the_usual_text_form():
+def test_metrics_are_exposed_in_the_prometheus_text_format():
     metrics = Exposition()
     metrics.count("relay.calls", 2, (("status", "200"),))
     metrics.gauge("control.followers", 3)
--- a/libs/wire/tests/traffic_tests.py
+++ b/libs/wire/tests/traffic_tests.py
@@ -1,11 +1,11 @@
-"""Counting what a process sends."""
+"""Tests of the traffic counters."""
 
 from __future__ import annotations
 
 from tarragonhall_model import EntryLoad, KeepTurn, Propose, to_plain
 from tarragonhall_wire import Traffic
 from tarragonhall_wire._exposition import Exposition
-from tarragonhall_wire._traffic import kind_of
+from tarragonhall_wire._traffic import message_kind
 
 
 def test_messages_are_counted_by_kind_and_by_whether_they_leave_the_zone():
@@ -24,8 +24,8 @@
     assert 'traffic_bytes_total{kind="EntryLoad",scope="between"} 150' in text
 
 
-def test_a_message_is_named_with_the_one_that_it_carries():
+def test_a_message_is_named_with_its_embedded_message():
     keep = KeepTurn("turn-1", "shop", "p-1", None, b"in", b"out", 3, "i-1", 1000)
-    assert kind_of(to_plain(Propose("req-1", keep))) == "Propose.KeepTurn"
-    assert kind_of(to_plain(EntryLoad("edge-1", {}))) == "EntryLoad"
-    assert kind_of(None) == "ping"
+    assert message_kind(to_plain(Propose("req-1", keep))) == "Propose.KeepTurn"
+    assert message_kind(to_plain(EntryLoad("edge-1", {}))) == "EntryLoad"
+    assert message_kind(None) == "ping"
