--- a/libs/store/tarragonhall_store/__init__.py
+++ b/libs/store/tarragonhall_store/__init__.py
@@ -1,4 +1,4 @@
-"""The store role: keeps turns and token budgets in a replicated log of its own."""
+"""The store role: stores turns and token budgets in a separate replicated log."""
 
 from __future__ import annotations
 
@@ -17,5 +17,5 @@
     client: ControlClient,
     limits: Limits | None = None,
 ) -> StoreRole:
-    """Announce this member to control, then found or join the group of stores."""
+    """Announce this member to control, then bootstrap or join the store group."""
     return StoreRole(settings, context, client, limits)
--- a/libs/store/tarragonhall_store/_role.py
+++ b/libs/store/tarragonhall_store/_role.py
@@ -1,4 +1,4 @@
-"""The store role as its process drives it: announces itself, founds or joins, then serves."""
+"""The store role as run by its process: announces itself, bootstraps or joins, then serves."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 log = structlog.get_logger(__name__)
 
 LOG_FOLDER = "turns"
-WATCH_SECONDS = 0.1
+POLL_SECONDS = 0.1
 CONFIRM_RETIRED_SECONDS = 2.0
 DRAIN_POLL_SECONDS = 0.02
 
-# The stores' log holds whole turns, so it grows by megabytes a second; a snapshot of all that is
-# kept is as large as some tens of seconds of it.
+# The stores' log contains complete turns, so it grows by megabytes per second; a snapshot of all
+# stored turns is as large as some tens of seconds of log.
 STORE_LIMITS = Limits(snapshot_bytes=16 * 1024 * 1024, snapshot_entries=100_000)
 
 
 class StoreRole:
-    """One store member: its log of turns, and its place in the view of control."""
+    """One store member: its replicated log of turns and its record in control's view."""
 
     __slots__ = (
         "_client",
@@ -60,7 +60,7 @@
         self.member: GroupMember | None = None
         self._joiner: Joiner | None = None
         self._follower = Follower(models_only=True)
-        fresh = settings.may_found and not _has_data(settings.data_folder)
+        fresh = settings.may_bootstrap and not _is_nonempty(settings.data_folder)
         self._record = StoreRecord(
             context.instance,
             context.incarnation,
@@ -80,7 +80,7 @@
         return self.member.is_leader() or self.member.leader_address() is not None
 
     def drain(self, timeout_s: float) -> bool:
-        """Wait for every proposal at hand; return whether all ended in time."""
+        """Wait for all proposals in flight; return whether all ended in time."""
         deadline = self._context.monotonic() + timeout_s
         while self.member is not None and self.member.loop.waiting():
             if self._context.monotonic() > deadline:
@@ -89,7 +89,7 @@
         return True
 
     def stop(self) -> None:
-        """Release the data folder."""
+        """Stop the member and release the data folder."""
         self._stopped = True
         if self._joiner is not None:
             self._joiner.stop()
@@ -100,11 +100,11 @@
         return self._follower.view
 
     def _start_member(self) -> None:
-        founders = self._founders()
+        bootstrap_members = self._bootstrap_members()
         self.member = GroupMember(
             f"{self._settings.data_folder}/{LOG_FOLDER}",
             self._context.instance,
-            founders,
+            bootstrap_members,
             self.state,
             self._context,
             GroupHooks(self._service.on_role),
@@ -117,57 +117,60 @@
             self.member,
             self._context,
             self._store_addresses,
-            self._leaving,
+            self._retiring_ids,
             MemberRepair(limits),
         )
         self.member.start()
         self._joiner.start()
-        eventlet.spawn_n(self._watch_retired)
+        eventlet.spawn_n(self._report_retired_loop)
 
-    def _founders(self) -> dict[str, str]:
-        """Wait until control has decided on the founders; return them if this is one of them."""
-        if _has_data(f"{self._settings.data_folder}/{LOG_FOLDER}"):
+    def _bootstrap_members(self) -> dict[str, str]:
+        """Wait for control's choice of the bootstrap members.
+
+        Return their addresses by id if this member is one of them, else nothing.
+        """
+        if _is_nonempty(f"{self._settings.data_folder}/{LOG_FOLDER}"):
             return {}
         while not self._stopped and not self._view().store_founders:
-            eventlet.sleep(WATCH_SECONDS)
+            eventlet.sleep(POLL_SECONDS)
         view = self._view()
         if not self._record.fresh or self._context.instance not in view.store_founders:
-            # An empty folder that is none of the founders': it must not vote as a member whose
-            # disk held what others were told.
+            # Not a bootstrap member, with an empty folder: it must not vote in place of a member
+            # whose lost disk held acknowledged data.
             return {}
         address_by_id = {store.store_id: store.address for store in view.stores}
         while not self._stopped and not set(view.store_founders) <= set(address_by_id):
-            eventlet.sleep(WATCH_SECONDS)
+            eventlet.sleep(POLL_SECONDS)
             view = self._view()
             address_by_id |= {store.store_id: store.address for store in view.stores}
-        return {one: address_by_id[one] for one in view.store_founders}
+        return {store_id: address_by_id[store_id] for store_id in view.store_founders}
 
     def _store_addresses(self) -> list[str]:
         return [store.address for store in self._view().stores]
 
-    def _leaving(self) -> frozenset[str]:
+    def _retiring_ids(self) -> frozenset[str]:
         return frozenset(self._view().retiring_stores)
 
-    def _watch_retired(self) -> None:
-        """As leader, tell control of members that are to leave and are out of the group."""
-        told: set[str] = set()
+    def _report_retired_loop(self) -> None:
+        """As leader, report to control the retiring members that have left the group."""
+        reported: set[str] = set()
         while not self._stopped:
-            eventlet.sleep(WATCH_SECONDS)
+            eventlet.sleep(POLL_SECONDS)
             if not self.member.is_leader():
                 continue
             status = self.member.loop.replica.status()
             members = {member.member_id for member in status.members}
-            for store_id in self._leaving() - members - told:
+            for store_id in self._retiring_ids() - members - reported:
                 if not self._is_committed(status):
                     continue
-                if self._tell_retired(store_id):
-                    told.add(store_id)
+                if self._report_retired(store_id):
+                    reported.add(store_id)
 
     def _is_committed(self, status) -> bool:
-        """Return whether the member list in force is committed: all that was proposed is."""
+        """Return whether the member list in force is committed, because the whole log is."""
         return status.commit_index == status.last_index
 
-    def _tell_retired(self, store_id: str) -> bool:
+    def _report_retired(self, store_id: str) -> bool:
         try:
             self._client.propose(ConfirmRetired(store_id), CONFIRM_RETIRED_SECONDS)
         except UnavailableError as error:
@@ -177,5 +180,5 @@
         return True
 
 
-def _has_data(folder: str) -> bool:
+def _is_nonempty(folder: str) -> bool:
     return os.path.isdir(folder) and bool(os.listdir(folder))
--- a/libs/store/tarragonhall_store/_service.py
+++ b/libs/store/tarragonhall_store/_service.py
@@ -1,4 +1,4 @@
-"""Answers what entries ask about turns: commands through the log, content from memory."""
+"""Handles the messages of entries about turns: commands through the log, reads from memory."""
 
 from __future__ import annotations
 
@@ -34,44 +34,44 @@
 
 
 class TurnService:
-    """The handlers of the messages between entries and one store member."""
+    """The handlers of one store member for the messages of entries."""
 
-    __slots__ = ("_context", "_led_from", "_led_from_ms", "_member", "_state")
+    __slots__ = ("_base_at", "_base_ms", "_context", "_member", "_state")
 
     def __init__(self, state: TurnState, context: ProcessContext) -> None:
         self._state = state
         self._context = context
         self._member: GroupMember | None = None
-        self._led_from = 0.0
-        self._led_from_ms: int | None = None
+        self._base_at = 0.0
+        self._base_ms: int | None = None
 
     def register(self) -> None:
-        """Take over the messages for store members."""
+        """Register the handlers for messages to store members."""
         self._context.hub.handle(Propose, self._on_propose)
         self._context.hub.handle(ReadTurns, self._on_read)
 
     def attach(self, member: GroupMember) -> None:
-        """Name the member of the group; until then this process leads nothing."""
+        """Set the group member; until then this process replies that it is not the leader."""
         self._member = member
 
     def on_role(self, changed: RoleChanged) -> None:
-        """Begin a leader's time where the log's time stands."""
-        self._led_from_ms = None
+        """Restart the leader's clock; it continues from the log's time at the first command."""
+        self._base_ms = None
         if changed.leads:
-            self._led_from = self._context.monotonic()
+            self._base_at = self._context.monotonic()
 
     def _now_ms(self) -> int:
-        """Return the log's time: it goes on while there is a leader, on that one's steady clock."""
+        """Return the log's time, which advances by the monotonic clock of each leader in turn."""
         now = self._context.monotonic()
-        if self._led_from_ms is None:
-            # Read at the first command: by then what earlier leaders committed is applied here.
-            self._led_from_ms = self._state.clock_ms
-            self._led_from = now
-        return self._led_from_ms + int((now - self._led_from) * 1000)
+        if self._base_ms is None:
+            # Read at the first command: by then the commits of earlier leaders are applied here.
+            self._base_ms = self._state.clock_ms
+            self._base_at = now
+        return self._base_ms + int((now - self._base_at) * 1000)
 
     def _on_propose(self, _link: Link, message: Propose) -> Proposed | NotLeader | Busy:
         if not isinstance(message.body, PROPOSABLE):
-            raise LinkError(f"{type(message.body).__name__} is not for stores")
+            raise LinkError(f"stores do not accept {type(message.body).__name__}")
         if self._member is None:
             return NotLeader()
         if not self._member.is_leader():
@@ -86,5 +86,5 @@
             return NotLeader(self._member.leader_address())
 
     def _on_read(self, _link: Link, message: ReadTurns) -> TurnsRead:
-        """Tell the content of turns; it never changes, so any member's copy will do."""
+        """Return the content of turns; it never changes, so any member may answer."""
         return TurnsRead(self._state.content(message.turn_ids))
--- a/libs/store/tests/conftest.py
+++ b/libs/store/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Make the stand-ins beside the tests importable."""
+"""Make the helper modules beside the tests importable."""
 
 from __future__ import annotations
 
--- a/libs/store/tests/store_stand_ins.py
+++ b/libs/store/tests/store_deployment.py
@@ -18,12 +18,14 @@
 )
 
 WAIT_SECONDS = 8.0
-QUICK = Limits(election_seconds=0.4, lease_seconds=0.35, heartbeat_seconds=0.08, retry_seconds=0.1)
+FAST_LIMITS = Limits(
+    election_seconds=0.4, lease_seconds=0.35, heartbeat_seconds=0.08, retry_seconds=0.1
+)
 SECRET = b"secret"
 
 
 class Deployment:
-    """Store members by name, and the control member that tells them of each other."""
+    """Store members by name, and the control member that maintains their view."""
 
     def __init__(self, folder) -> None:
         self.folder = folder
@@ -39,18 +41,20 @@
             server_timeout_ms=3_000,
             entry_timeout_ms=3_000,
         )
-        self.control = start_control(settings, context, QUICK)
+        self.control = start_control(settings, context, FAST_LIMITS)
         self.clients = []
 
     def start_store(self, name: str, first_start: bool = True) -> None:
-        """Start a store member; `first_start` says that the whole deployment is new."""
+        """Start a store member; `first_start` means that the whole deployment is new."""
         address = self.address_by_name.setdefault(name, free_address())
         context = self._context(name, address)
-        settings = StoreSettings(str(self.folder / name), may_found=first_start)
-        self.store_by_name[name] = start_store(settings, context, ControlClient(context), QUICK)
+        settings = StoreSettings(str(self.folder / name), may_bootstrap=first_start)
+        self.store_by_name[name] = start_store(
+            settings, context, ControlClient(context), FAST_LIMITS
+        )
 
     def stop_store(self, name: str) -> None:
-        """End a store member as a kill would."""
+        """Stop a store member without a drain, like a kill."""
         self.store_by_name.pop(name).stop()
         self.context_by_name.pop(name).hub.stop()
         eventlet.sleep(0.1)
@@ -71,20 +75,20 @@
         return {member.member_id for member in members if member.voting}
 
     def stores_client(self) -> LeaderClient:
-        """Return a client as an entry has one."""
+        """Return a client of the stores like that of an entry."""
         context = self._context(f"client-{len(self.clients)}", free_address())
         self.clients.append(context)
         addresses = [self.context_by_name[name].link_address for name in self.store_by_name]
         return LeaderClient(context, lambda: addresses)
 
-    def until(self, condition, seconds: float = WAIT_SECONDS) -> None:
+    def wait_until(self, condition, seconds: float = WAIT_SECONDS) -> None:
         """Wait for a condition."""
         with eventlet.Timeout(seconds):
             while not condition():
                 eventlet.sleep(0.02)
 
     def stop(self) -> None:
-        """End everything."""
+        """Stop all members and clients."""
         for name in list(self.store_by_name):
             self.stop_store(name)
         self.control.stop()
