--- a/features/environment.py
+++ b/features/environment.py
@@ -1,4 +1,4 @@
-"""Patches the standard library before any scenario runs, as the daemon does."""
+"""Patches the standard library with eventlet before any scenario runs, as the daemon does."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 
 from tarragonhall_wire import set_up_logs  # noqa: E402
 
-# The processes write their own logs; here only what a scenario prints is of interest.
+# The processes write their own logs; only errors of the scenarios themselves are printed.
 set_up_logs("features", "error")
 logging.getLogger("websockets").setLevel(logging.ERROR)
 
 
 def before_scenario(context, _scenario):
-    """Give each scenario its own list of things to stop."""
+    """Give each scenario a list of cleanup functions."""
     context.to_stop = []
 
 
 def after_scenario(context, _scenario):
-    """Stop what the scenario started, newest first."""
+    """Call the cleanup functions of the scenario, newest first."""
     for stop in reversed(context.to_stop):
         stop()
 
 
 def after_all(_context):
-    """Stop the deployments that the scenarios shared."""
+    """Stop the deployments that scenarios share."""
     from deployment import stop_shared_deployments
 
     stop_shared_deployments()
--- a/features/steps/backend_servers_steps.py
+++ b/features/steps/backend_servers_steps.py
@@ -10,8 +10,8 @@
 
 @given("the caller has been served before")
 def given_served_before(context):
-    # The first owner of an organisation's bucket waits before it grants; these scenarios are about
-    # servers, and their calls have little time.
+    # The first owner of an organisation's token bucket waits before it grants tokens, which could
+    # use up the short timeouts of these scenarios.
     def served() -> bool:
         program_id = context.caller.open()
         body = f"first of {context.org}"
@@ -20,29 +20,29 @@
     wait_until(served)
 
 
-@given('the order desk does "{kind}" with "{body}"')
-def given_desk_fault(context, kind, body):
+@given('the order desk has the fault "{kind}" for "{body}"')
+def given_order_desk_fault(context, kind, body):
     context.deployment.service.faults.add(Fault(FaultKind(kind), match=body))
 
 
 @given("the order desk takes {seconds:g} second for a call")
-def given_slow_desk(context, seconds):
+def given_slow_order_desk(context, seconds):
     context.deployment.service.seconds_per_call = seconds
 
 
-@given("the engine crashes whenever it meets the poisonous prompt and is restarted each time")
-def given_poison(context):
+@given("the engine crashes whenever it runs the poisonous prompt and is restarted each time")
+def given_poison_prompt(context):
     deployment = context.deployment
-    context.poison = f"poison of {context.org}"
+    context.poison_prompt = f"poison of {context.org}"
     context.crashes = 0
-    deployment.engine.faults.add(Fault(FaultKind.CRASH, match=context.poison, times=0))
+    deployment.engine.faults.add(Fault(FaultKind.CRASH, match=context.poison_prompt, times=0))
 
     def supervise() -> None:
         while True:
             if deployment.engine_server.crashed:
                 context.crashes += 1
                 eventlet.sleep(0.5)
-                deployment.engine.life = f"life-{time.monotonic()}"
+                deployment.engine.incarnation = f"life-{time.monotonic()}"
                 deployment.engine_server.start()
             eventlet.sleep(0.02)
 
@@ -56,23 +56,23 @@
     )
 
 
-@then('the caller is told that it is "{execution}" whether the call ran')
-def told_execution(context, execution):
+@then('the reply has the execution "{execution}"')
+def reply_has_execution(context, execution):
     assert context.reply.value.get("execution") == execution, context.reply
 
 
 @when('"{name}" is killed and started again while the call runs')
 def kill_and_start(context, name):
-    # Dispatched, but the service has not acted yet.
+    # The call has reached the service but has not taken effect.
     context.deployment.wait_for_request(context.last_body)
     assert context.deployment.effects(context.last_body) == 0
     context.deployment.process_by_name[name].kill()
     context.deployment.start(name)
 
 
-@then("the caller does not hear that the call was not run")
-def not_called_not_run(context):
-    reply = context.waiting.pop().wait()
+@then("the reply does not say that the call was not run")
+def reply_does_not_say_not_run(context):
+    reply = context.pending_calls.pop().wait()
     assert reply.value.get("execution") != "not_run", reply
 
 
@@ -82,7 +82,7 @@
     for number in range(count):
         entry = ENTRIES[number % 2]
         program_id = context.caller.open(entry)
-        body = context.poison
+        body = context.poison_prompt
         reply = context.caller.call(entry, program_id, 1, body, timeout_ms=3_000, **fields)
         context.replies.append(reply)
 
@@ -101,7 +101,7 @@
 @then("another prompt of the caller is answered")
 def other_prompt_answered(context):
     fields = {"kind": "model", "target": "planner", "max_tokens": 20, "repeatable": True}
-    body = f"innocent of {context.org}"
+    body = f"other prompt of {context.org}"
     reply = context.caller.call(ENTRIES[0], context.program_id, 1, body, **fields)
     assert reply.status == 200, reply
 
@@ -117,26 +117,26 @@
 def _drained(context, server) -> bool:
     listing = context.deployment.tool("server", "list")
     servers = listing["servers"] if isinstance(listing, dict) else listing
-    return any(one["server_id"] == server and one["draining"] for one in servers)
+    return any(record["server_id"] == server and record["draining"] for record in servers)
 
 
 @when('"{name}" is asked to stop and started again meanwhile')
 def restart_gracefully(context, name):
     process = context.deployment.process_by_name[name]
-    process.ask_to_stop()
+    process.request_stop()
     wait_until(lambda: not process.running())
-    assert process.stop() == 0, "ended by force"
+    assert process.stop() == 0, "not stopped gracefully"
     context.deployment.start(name)
     eventlet.sleep(2.0)
-    context.going = False
-    for thread in context.waiting:
+    context.load_running = False
+    for thread in context.pending_calls:
         thread.wait()
 
 
-@then("every answered call took effect 1 time and every refused one none")
-def effects_fit_replies(context):
+@then("every answered call took effect once and every refused one never")
+def effects_match_replies(context):
     assert context.errors == [], context.errors
-    effects = context.deployment.effects(context.mark)
+    effects = context.deployment.effects(context.body_prefix)
     answered = [reply for reply in context.replies if reply.status == 200]
     refused = [reply for reply in context.replies if reply.status != 200]
     assert {reply.value["execution"] for reply in refused} <= {"not_run"}, refused
--- a/features/steps/budget_steps.py
+++ b/features/steps/budget_steps.py
@@ -4,8 +4,8 @@
 from behave import given, then, when
 from deployment import ENTRIES, wait_until
 
-# More rounds than any budget here allows; a loop that is not stopped ends the step as a failure.
-ENDLESS = 50
+# More calls than any budget here allows: a loop that is not refused ends and fails the step.
+MAX_CALLS = 50
 
 
 @given("a program of a caller whose budget is {calls:d} calls")
@@ -15,10 +15,10 @@
     budget = ("--tokens", "100000", "--calls", str(calls))
     deployment.tool("budget", "set", f"/tests/{context.org}", *budget)
     context.caller = deployment.caller(key)
-    wait_until(lambda: _opened_with(context, calls))
+    wait_until(lambda: _budget_reached_entry(context, calls))
 
 
-def _opened_with(context, calls: int) -> bool:
+def _budget_reached_entry(context, calls: int) -> bool:
     """Open a program; return whether the new budget has reached the entry."""
     reply = context.caller.send(ENTRIES[0], "POST", "/v1/programs", {})
     if reply.status != 201:
@@ -27,7 +27,7 @@
     return reply.value["budget"]["calls"] == calls
 
 
-@when("two sub-agents of the program call without end through both entries")
+@when("two sub-agents of the program call in an endless loop through both entries")
 def sub_agents_loop(context):
     threads = [eventlet.spawn(_loop, context, entry) for entry in ENTRIES]
     context.last_replies = [thread.wait() for thread in threads]
@@ -36,7 +36,7 @@
 def _loop(context, entry: str):
     parent = {"parent": context.program_id}
     child = context.caller.send(entry, "POST", "/v1/programs", parent).value["program_id"]
-    for seq in range(1, ENDLESS):
+    for seq in range(1, MAX_CALLS):
         body = f"loop-{context.org} {entry} {seq}"
         reply = context.caller.call(entry, child, seq, body)
         if reply.status != 200:
--- a/features/steps/control_steps.py
+++ b/features/steps/control_steps.py
@@ -19,13 +19,13 @@
 
 
 def _leader(context) -> str | None:
-    """Return the member that leads, as the others tell it."""
+    """Return the leader that the control members report, or None."""
     leader = context.deployment.tool("status").get("leader")
     return leader or None
 
 
 def _run_calls(context, count: int, before_each=lambda _number: None) -> None:
-    """Run calls one after the other, each through whichever entry answers."""
+    """Run calls one after the other, each through any entry that answers."""
     first = len(context.answered) + 1
     for seq in range(first, first + count):
         before_each(seq)
@@ -63,9 +63,9 @@
 
 @when("the leader is paused")
 def pause_leader(context):
-    context.paused = _leader(context)
-    context.deployment.process_by_name[context.paused].pause()
-    context.to_stop.append(context.deployment.process_by_name[context.paused].resume)
+    context.paused_member = _leader(context)
+    context.deployment.process_by_name[context.paused_member].pause()
+    context.to_stop.append(context.deployment.process_by_name[context.paused_member].resume)
 
 
 @when("the key of the caller is withdrawn")
@@ -88,13 +88,13 @@
     wait_until(lambda: _refused(context, code), seconds=8)
 
 
-@when("the paused member goes on")
+@when("the paused member resumes")
 def resume(context):
-    context.deployment.process_by_name[context.paused].resume()
+    context.deployment.process_by_name[context.paused_member].resume()
 
 
 @then('every call in the next {seconds:d} seconds is refused as "{code}"')
-def refused_all_along(context, seconds, code):
+def refused_throughout(context, seconds, code):
     end = time.monotonic() + seconds
     while time.monotonic() < end:
         assert _refused(context, code)
@@ -102,7 +102,7 @@
 
 
 @then("the settings revision of no member went back")
-def revisions_hold(context):
+def revisions_did_not_go_back(context):
     for admin in context.deployment.admin_address.values():
         command = ["--admin", admin, "settings", "get", "/"]
         assert context.deployment.tool(*command)["revision"] >= context.revision
@@ -113,16 +113,16 @@
     return [name for name in context.deployment.control_address if name != leader]
 
 
-@when("a member that does not lead is killed and its data folder wiped")
+@when("a follower is killed and its data folder wiped")
 def wipe(context):
-    context.wiped, context.other = _followers(context)
-    context.deployment.process_by_name[context.wiped].kill()
-    shutil.rmtree(context.deployment.folder / f"data-{context.wiped}")
+    context.wiped_member, context.other_follower = _followers(context)
+    context.deployment.process_by_name[context.wiped_member].kill()
+    shutil.rmtree(context.deployment.folder / f"data-{context.wiped_member}")
 
 
 @when("it is started again and replaced by the operator")
 def replace(context):
-    context.deployment.start(context.wiped)
+    context.deployment.start(context.wiped_member)
     wait_until(lambda: _replaced(context), seconds=REPLACE_SECONDS)
 
 
@@ -130,18 +130,20 @@
     from tarragonhall_fakes import ProcessError
 
     try:
-        context.deployment.tool("member", "replace", context.wiped)
+        context.deployment.tool("member", "replace", context.wiped_member)
     except ProcessError:
-        # Not heard from yet, or not caught up yet: the operator tries again.
+        # The member has not reported or caught up yet; the operator retries.
         eventlet.sleep(0.2)
         return False
     members = context.deployment.tool("member", "list")["members"]
-    return all(member["voting"] for member in members if member["member_id"] == context.wiped)
+    return all(
+        member["voting"] for member in members if member["member_id"] == context.wiped_member
+    )
 
 
-@when("the other member that does not lead is killed")
+@when("the other follower is killed")
 def kill_other(context):
-    context.deployment.process_by_name[context.other].kill()
+    context.deployment.process_by_name[context.other_follower].kill()
 
 
 @then("all {count:d} are answered in order")
--- a/features/steps/deployment.py
+++ b/features/steps/deployment.py
@@ -1,8 +1,8 @@
 """A small deployment of real processes for the features, and callers of it.
 
-One or three control members, one sidecar process before a fake service and a fake engine, and two
-entries. It is shared by the scenarios that want as many control members; each makes sure first that
-everything runs.
+One or three control members, one sidecar process for a fake service and a fake engine, and two
+entries. Scenarios with the same number of control members share a deployment; each first restarts
+what the previous one stopped.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True)
 class Deployment:
-    """The processes, the fakes behind them, and what callers need."""
+    """The processes, the fakes behind them, and their addresses."""
 
     folder: Path
     service: Service
@@ -50,7 +50,7 @@
     token: str = ""
 
     def start(self, name: str) -> None:
-        """Start a process, unless it runs, and wait until it is ready."""
+        """Start a process unless it is running; wait until an entry is ready."""
         process = self.process_by_name.get(name)
         if process is None or not process.running():
             command = [script("tarragonhalld"), "--settings", str(self.folder / f"{name}.json")]
@@ -59,8 +59,8 @@
         if name in self.callers_address:
             process.wait_ready(f"http://{self.callers_address[name]}/readyz")
 
-    def ensure(self) -> None:
-        """Make sure that every process runs and no fault is left over."""
+    def restore(self) -> None:
+        """Remove all faults and start every process that is not running."""
         self.service.faults.clear()
         self.service.seconds_per_call = 0.0
         self.engine.faults.clear()
@@ -78,7 +78,7 @@
         return json.loads(run_script("tarragonhall", *command, *arguments))
 
     def new_organisation(self, rate: int = RATE, burst: int = RATE) -> tuple[str, str]:
-        """Create an organisation; return its name and a key of it."""
+        """Create an organisation; return its name and a key."""
         name = f"org-{uuid.uuid4().hex[:8]}"
         path = f"/tests/{name}"
         self.tool("org", "create", name, path, f"rate.per_second={rate}", f"rate.burst={burst}")
@@ -89,15 +89,15 @@
         return Caller(self, key)
 
     def restart_service_if_crashed(self) -> None:
-        """Do as the platform does with a backend server that died."""
+        """Restart a crashed service under a new incarnation, as the platform does."""
         if self.service_server.crashed:
-            self.service.life = uuid.uuid4().hex
+            self.service.incarnation = uuid.uuid4().hex
             self.service_server.start()
 
     def wait_for_request(self, body: str) -> None:
-        """Wait until a call with this body has reached the service, which may not have acted."""
+        """Wait until a call with this body has reached the service; it may not have run yet."""
         data = body.encode()
-        wait_until(lambda: any(data in one.body for one in self.service_server.received))
+        wait_until(lambda: any(data in request.body for request in self.service_server.received))
 
     def effects(self, body: str) -> int:
         """Return how often a service call with this body took effect."""
@@ -114,7 +114,7 @@
 
 @dataclass(slots=True)
 class Reply:
-    """What a caller received: the status, the JSON body, and through which entry."""
+    """A reply to a caller: the status, the JSON body, and the entry that sent it."""
 
     status: int
     value: dict
@@ -127,7 +127,7 @@
 
 @dataclass(slots=True)
 class Caller:
-    """A caller with a key, on connections that stay open."""
+    """A caller with a key that keeps its connections open."""
 
     deployment: Deployment
     key: str
@@ -149,13 +149,13 @@
         return reply.value["program_id"]
 
     def call(self, entry: str, program_id: str, seq: int, body: str, **fields) -> Reply:
-        """Send a service call that may not be repeated, unless the fields say otherwise."""
+        """Send a call: a service call that is not repeatable, unless the fields override this."""
         call = {"seq": seq, "kind": "service", "target": "order-desk", "body": body}
         call |= {"repeatable": False, "timeout_ms": 20_000} | fields
         return self.send(entry, "POST", f"/v1/programs/{program_id}/calls", call)
 
     def call_anywhere(self, program_id: str, seq: int, body: str, **fields) -> Reply:
-        """Send a call as through a balancer: to another entry while one does not answer."""
+        """Send a call as a load balancer does: to another entry if one does not answer."""
         with eventlet.Timeout(WAIT_SECONDS):
             while True:
                 for entry in ENTRIES:
@@ -166,7 +166,7 @@
                 eventlet.sleep(0.05)
 
     def call_until_run(self, program_id: str, seq: int, body: str, **fields) -> Reply:
-        """Send a call, and come back when a refusal says that it was not run and when to return."""
+        """Send a call, again after each refusal that says it was not run and when to retry."""
         with eventlet.Timeout(WAIT_SECONDS):
             while True:
                 reply = self.call_anywhere(program_id, seq, body, **fields)
@@ -177,7 +177,7 @@
 
 
 def wait_until(condition, seconds: float = WAIT_SECONDS) -> None:
-    """Wait for something to become true."""
+    """Wait until the condition holds; raise AssertionError after the timeout."""
     with eventlet.Timeout(seconds, False):
         while not condition():
             eventlet.sleep(0.01)
@@ -189,16 +189,16 @@
 
 
 def shared_deployment(members: int = 1) -> Deployment:
-    """Return the deployment of this run with so many control members, with everything running."""
+    """Return the shared deployment with this many control members, every process running."""
     if members not in _deployment_by_members:
         _deployment_by_members[members] = _make_deployment(members)
-    made = _deployment_by_members[members]
-    made.ensure()
-    return made
+    deployment = _deployment_by_members[members]
+    deployment.restore()
+    return deployment
 
 
 def stop_shared_deployments() -> None:
-    """Stop the deployments that were made."""
+    """Stop all shared deployments."""
     while _deployment_by_members:
         _deployment_by_members.popitem()[1].stop()
 
@@ -207,38 +207,48 @@
     folder = Path(tempfile.mkdtemp(prefix="tarragonhall-features-"))
     service, service_server = start_service()
     engine, engine_server = start_engine()
-    made = Deployment(folder, service, engine, service_server, engine_server)
+    deployment = Deployment(folder, service, engine, service_server, engine_server)
     for number in range(1, members + 1):
-        made.control_address[f"control-{number}"] = free_address()
-        made.admin_address[f"control-{number}"] = free_address()
-    _write_settings(made, service_server.address, engine_server.address)
+        deployment.control_address[f"control-{number}"] = free_address()
+        deployment.admin_address[f"control-{number}"] = free_address()
+    _write_settings(deployment, service_server.address, engine_server.address)
     control = str(folder / "control-1.json")
-    made.token = run_script("tarragonhalld", "--settings", control, "--init").strip()
-    return made
+    deployment.token = run_script("tarragonhalld", "--settings", control, "--init").strip()
+    return deployment
 
 
-def _write_settings(made: Deployment, service: str, engine: str) -> None:
-    for name, address in made.control_address.items():
+def _write_settings(deployment: Deployment, service: str, engine: str) -> None:
+    for name, address in deployment.control_address.items():
         control = {
             "data_folder": f"data-{name}",
-            "admin": made.admin_address[name],
-            "members": made.control_address,
+            "admin": deployment.admin_address[name],
+            "members": deployment.control_address,
         }
-        _write(made, name, address, {"control": control})
-    desk = {"server_id": "desk-1", "server": service, "kind": "service", "serves": ["order-desk"]}
-    model = {"server_id": "engine-1", "server": engine, "kind": "model", "serves": ["planner"]}
-    _write(made, "sidecar-1", free_address(), {"sidecars": [desk, model]})
+        _write(deployment, name, address, {"control": control})
+    service_sidecar = {
+        "server_id": "desk-1",
+        "server": service,
+        "kind": "service",
+        "serves": ["order-desk"],
+    }
+    engine_sidecar = {
+        "server_id": "engine-1",
+        "server": engine,
+        "kind": "model",
+        "serves": ["planner"],
+    }
+    _write(deployment, "sidecar-1", free_address(), {"sidecars": [service_sidecar, engine_sidecar]})
     for name in ENTRIES:
-        made.callers_address[name] = free_address()
-        entry = {"listen": made.callers_address[name], "drain_grace_ms": 500}
-        _write(made, name, free_address(), {"entry": entry})
+        deployment.callers_address[name] = free_address()
+        entry = {"listen": deployment.callers_address[name], "drain_grace_ms": 500}
+        _write(deployment, name, free_address(), {"entry": entry})
 
 
-def _write(made: Deployment, name: str, listen: str, roles: dict) -> None:
+def _write(deployment: Deployment, name: str, listen: str, roles: dict) -> None:
     link = {
         "listen": listen,
         "secret_file": "link.secret",
-        "controls": list(made.control_address.values()),
+        "controls": list(deployment.control_address.values()),
     }
     settings = {"instance": name, "availability_zone": "tx-austin", "link": link} | roles
-    (made.folder / f"{name}.json").write_text(json.dumps(settings))
+    (deployment.folder / f"{name}.json").write_text(json.dumps(settings))
--- a/features/steps/entries_steps.py
+++ b/features/steps/entries_steps.py
@@ -15,7 +15,7 @@
     context.deployment = shared_deployment()
     context.replies = []
     context.errors = []
-    context.waiting = []
+    context.pending_calls = []
 
 
 @given("a program of a caller")
@@ -39,11 +39,11 @@
 
 
 @given("the order desk takes {seconds:g} seconds for a call")
-def given_slow_desk(context, seconds):
+def given_slow_order_desk(context, seconds):
     context.deployment.service.seconds_per_call = seconds
 
 
-@given("the engine takes long for a call")
+@given("the engine takes a long time for a call")
 def given_long_call(context):
     context.prompt = LONG_PROMPT
 
@@ -51,14 +51,14 @@
 @when('the caller sends call {seq:d} "{body}" through "{entry}"')
 def send_call(context, seq, body, entry):
     context.last_body = body
-    context.waiting.append(eventlet.spawn(_call_or_none, context, entry, seq, body))
+    context.pending_calls.append(eventlet.spawn(_call_or_none, context, entry, seq, body))
 
 
 def _call_or_none(context, entry, seq, body) -> Reply | None:
     try:
         return context.caller.call(entry, context.program_id, seq, body)
     except HTTPError:
-        # The entry was killed; its caller only sees a connection that ends.
+        # The entry was killed; its caller only sees the connection close.
         return None
 
 
@@ -79,7 +79,7 @@
     context.deployment.wait_for_request(context.last_body)
     assert context.deployment.effects(context.last_body) == 0
     context.deployment.process_by_name[entry].kill()
-    context.waiting.clear()
+    context.pending_calls.clear()
 
 
 @when('"{entry}" is killed')
@@ -90,14 +90,14 @@
 @then('the caller gets the answer to "{body}"')
 @when('the caller gets the answer to "{body}"')
 def got_answer(context, body):
-    reply = context.waiting.pop().wait()
+    reply = context.pending_calls.pop().wait()
     assert reply.status == 200, reply
     assert body in reply.text(), reply
 
 
 @then('"{body}" took effect {count:d} time')
 def took_effect(context, body, count):
-    # A service that was left in the middle of a call still acts, when its time has come.
+    # A service whose caller disconnected during a call still completes the call later.
     wait_until(lambda: context.deployment.effects(body) >= count)
     assert context.deployment.effects(body) == count, context.deployment.service.ledger
 
@@ -110,14 +110,14 @@
 
 @then("both get the same answer")
 def same_answer(context):
-    first, second = (thread.wait() for thread in context.waiting)
+    first, second = (thread.wait() for thread in context.pending_calls)
     assert first.status == second.status == 200, (first, second)
     assert first.value == second.value
 
 
 @then("all calls are answered")
 def all_answered(context):
-    replies = [thread.wait() for thread in context.waiting]
+    replies = [thread.wait() for thread in context.pending_calls]
     assert all(reply.status == 200 for reply in replies), replies
 
 
@@ -161,20 +161,20 @@
 
 
 @when("{count:d} programs of the caller call through both entries for {seconds:g} seconds")
-def hammer(context, count, seconds):
-    # The bucket's first owner starts empty; the measured time begins with the first admitted call.
+def call_for_seconds(context, count, seconds):
+    # The first owner of the bucket starts without tokens: time counts from the first admitted call.
     assert context.caller.call(ENTRIES[0], context.program_id, 1, "warm-up").status == 200
     programs = [context.caller.open(ENTRIES[n % 2]) for n in range(count)]
     started = time.monotonic()
-    context.mark = f"hammer-{context.org}"
+    context.body_prefix = f"hammer-{context.org}"
 
     def loop(number: int) -> None:
         seq = 1
         while time.monotonic() - started < seconds:
             entry = ENTRIES[(number + seq) % 2]
-            body = f"{context.mark} {number} {seq}"
-            # Long enough that no admitted call is late on a busy machine, and shorter than the
-            # rate's queue: 40 programs want four seconds' worth of it.
+            body = f"{context.body_prefix} {number} {seq}"
+            # Long enough that no admitted call times out on a busy machine, and shorter than the
+            # wait in the rate's queue, which is four seconds with 40 programs.
             reply = context.caller.call(entry, programs[number], seq, body, timeout_ms=1_500)
             context.replies.append((time.monotonic() - started, reply))
             seq += reply.status == 200
@@ -186,8 +186,8 @@
 
 
 @then("no more calls took effect than the rate and burst allow")
-def rate_held(context):
-    effects = context.deployment.effects(context.mark)
+def effects_within_rate(context):
+    effects = context.deployment.effects(context.body_prefix)
     allowed = context.burst + context.rate * context.seconds
     assert 0 < effects <= allowed, (effects, allowed)
 
@@ -203,22 +203,22 @@
 
 @when("{count:d} programs of the caller call through ready entries")
 def load_through_ready_entries(context, count):
-    context.mark = f"load-{context.org}"
-    context.sent = []
-    context.going = True
-    context.waiting = [eventlet.spawn(_call_on, context, n) for n in range(count)]
+    context.body_prefix = f"load-{context.org}"
+    context.sent_bodies = []
+    context.load_running = True
+    context.pending_calls = [eventlet.spawn(_call_until_stopped, context, n) for n in range(count)]
     eventlet.sleep(0.5)
 
 
-def _call_on(context, number: int) -> None:
-    """Call as through a balancer that asks `readyz` before each request."""
+def _call_until_stopped(context, number: int) -> None:
+    """Call as through a load balancer that checks `readyz` before each request."""
     caller = context.caller
     program_id = caller.open(_ready_entry(context, number))
     seq = 1
-    while context.going:
-        body = f"{context.mark} {number} {seq}."
+    while context.load_running:
+        body = f"{context.body_prefix} {number} {seq}."
         entry = _ready_entry(context, number + seq)
-        context.sent.append(body)
+        context.sent_bodies.append(body)
         try:
             context.replies.append(caller.call(entry, program_id, seq, body))
         except HTTPError as error:
@@ -242,9 +242,9 @@
 
 
 @when('"{entry}" is asked to stop meanwhile')
-def ask_to_stop(context, entry):
+def request_stop(context, entry):
     process = context.deployment.process_by_name[entry]
-    process.ask_to_stop()
+    process.request_stop()
     wait_until(lambda: not process.running())
     _end_load(context)
 
@@ -253,7 +253,7 @@
 def rolling_restart(context):
     for entry in ENTRIES:
         process = context.deployment.process_by_name[entry]
-        process.ask_to_stop()
+        process.request_stop()
         wait_until(lambda: not process.running())  # noqa: B023 - waited for at once
         context.deployment.start(entry)
         eventlet.sleep(0.5)
@@ -261,8 +261,8 @@
 
 
 def _end_load(context) -> None:
-    context.going = False
-    for thread in context.waiting:
+    context.load_running = False
+    for thread in context.pending_calls:
         thread.wait()
 
 
@@ -271,31 +271,31 @@
     assert context.errors == [], context.errors
     refused = [reply for reply in context.replies if reply.status != 200]
     assert refused == [], refused[:3]
-    assert len(context.replies) == len(context.sent) > 0
+    assert len(context.replies) == len(context.sent_bodies) > 0
 
 
-@then('"{entry}" ended by itself')
-def ended_by_itself(context, entry):
+@then('"{entry}" exited by itself')
+def exited_by_itself(context, entry):
     assert context.deployment.process_by_name[entry].stop() == 0
 
 
 @then("every call took effect 1 time")
 def every_effect_once(context):
     bodies = [entry["body"] for entry in context.deployment.service.ledger]
-    counts = {body: bodies.count(body) for body in context.sent}
+    counts = {body: bodies.count(body) for body in context.sent_bodies}
     assert set(counts.values()) == {1}, counts
 
 
-@when("the control member is frozen for {seconds:g} seconds")
-def freeze_control(context, seconds):
+@when("the control member is paused for {seconds:g} seconds")
+def pause_control(context, seconds):
     process = context.deployment.process_by_name["control-1"]
     context.to_stop.append(process.resume)
     process.pause()
     eventlet.sleep(seconds)
 
 
-@when("the control member goes on")
-def thaw_control(context):
+@when("the control member resumes")
+def resume_control(context):
     context.deployment.process_by_name["control-1"].resume()
 
 
@@ -305,7 +305,8 @@
     reply = context.caller.call(entry, context.program_id, 1, f"stale-{context.org}")
     assert time.monotonic() - started < seconds
     assert reply.value["error"] == code, reply
-    # The entry is cut off: the call may be a resend of one that ran through another.
+    # The entry cannot reach the control members: the call may be a resend of one that ran through
+    # another entry.
     assert reply.value["execution"] == "unknown", reply
     assert context.deployment.effects(f"stale-{context.org}") == 0
 
@@ -327,7 +328,7 @@
 @when('the caller sends a model call through "{entry}"')
 def send_model_call(context, entry):
     fields = {"kind": "model", "target": "planner", "max_tokens": 4_000}
-    context.waiting.append(
+    context.pending_calls.append(
         eventlet.spawn(context.caller.call, entry, context.program_id, 1, context.prompt, **fields)
     )
 
@@ -343,7 +344,7 @@
 @then("the call ends within {seconds:g} seconds")
 def call_ends(context, seconds):
     with eventlet.Timeout(seconds):
-        reply = context.waiting.pop().wait()
+        reply = context.pending_calls.pop().wait()
     assert "answer" in reply.value or reply.value["error"] in ("cancelled", "program_ended"), reply
 
 
--- a/features/steps/servers_steps.py
+++ b/features/steps/servers_steps.py
@@ -6,13 +6,13 @@
 from urllib3.exceptions import HTTPError
 
 
-@given('the order desk hangs after it has done "{body}"')
-def hanging_desk(context, body):
+@given('the order desk hangs after it has run "{body}"')
+def given_hanging_order_desk(context, body):
     context.deployment.service.faults.add(Fault(FaultKind.HANG, match=body))
 
 
 @given('the order desk crashes at "{body}" and is restarted by the platform')
-def crashing_desk(context, body):
+def given_crashing_order_desk(context, body):
     deployment = context.deployment
     deployment.service.faults.add(Fault(FaultKind.CRASH, match=body, times=0))
 
@@ -24,8 +24,8 @@
     context.to_stop.append(eventlet.spawn(restart).kill)
 
 
-@when('"{process}" dies while the call runs')
-def dies(context, process):
+@when('process "{process}" is killed while the call runs')
+def kill_while_running(context, process):
     context.deployment.wait_for_request(context.last_body)
     context.deployment.process_by_name[process].kill()
 
@@ -53,7 +53,7 @@
 @then('the call is refused as "{code}" and "{execution}" within {seconds:g} seconds')
 def call_refused_within(context, code, execution, seconds):
     with eventlet.Timeout(seconds, AssertionError(f"no answer within {seconds} s")):
-        reply = context.waiting.pop().wait()
+        reply = context.pending_calls.pop().wait()
     assert "error" in reply.value, reply
     assert (reply.value["error"], reply.value["execution"]) == (code, execution), reply
 
@@ -66,4 +66,4 @@
             return None
 
     context.last_body = body
-    context.waiting.append(eventlet.spawn(call))
+    context.pending_calls.append(eventlet.spawn(call))
--- a/libs/fakes/tarragonhall_fakes/__init__.py
+++ b/libs/fakes/tarragonhall_fakes/__init__.py
@@ -1,4 +1,4 @@
-"""Small fakes of the outside systems, and the load tool."""
+"""Fakes of the model engine and of a plain service, and the load tool."""
 
 from __future__ import annotations
 
--- a/libs/fakes/tarragonhall_fakes/__main__.py
+++ b/libs/fakes/tarragonhall_fakes/__main__.py
@@ -1,4 +1,4 @@
-"""Command lines of the fakes and of the load tool."""
+"""Command-line entry points of the fakes and of the load tool."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 @click.option("--listen", default="127.0.0.1:0", show_default=True, help="host:port")
 @click.option("--max-batch", default=8, show_default=True, help="requests run at once")
 @click.option("--cache-tokens", default=20_000, show_default=True, help="prefix cache, in tokens")
-@click.option("--step-ms", default=2.0, show_default=True, help="time of a step, in ms")
-@click.option("--fencing/--no-fencing", default=False, help="refuse old fencing numbers")
+@click.option("--step-ms", default=2.0, show_default=True, help="duration of a step, in ms")
+@click.option("--fencing/--no-fencing", default=False, help="reject old fencing numbers")
 def engine(listen: str, max_batch: int, cache_tokens: int, step_ms: float, fencing: bool) -> None:
     """Run the fake model engine."""
     from tarragonhall_fakes._batch import EngineOptions
@@ -28,7 +28,7 @@
 
 @click.command()
 @click.option("--listen", default="127.0.0.1:0", show_default=True, help="host:port")
-@click.option("--call-ms", default=0.0, show_default=True, help="time of a call, in ms")
+@click.option("--call-ms", default=0.0, show_default=True, help="duration of a call, in ms")
 def service(listen: str, call_ms: float) -> None:
     """Run the fake plain service."""
     from tarragonhall_fakes._server import FakeServer, serve_process
@@ -41,7 +41,7 @@
     """Run the load tool."""
     import eventlet
 
-    # First of all: callers are green threads, and their HTTP client must not block the others.
+    # Before other imports: callers are green threads, and a blocking HTTP call would stop them all.
     eventlet.monkey_patch()
     from tarragonhall_fakes._load import main
 
--- a/libs/fakes/tarragonhall_fakes/_batch.py
+++ b/libs/fakes/tarragonhall_fakes/_batch.py
@@ -1,4 +1,4 @@
-"""The inside of the fake engine: continuous batching over a prefix cache of limited memory."""
+"""Continuous batching over a prefix cache of limited size, as the fake engine runs it."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 import eventlet
 from eventlet.queue import LightQueue
 
-ASKED_TOKENS = re.compile(r"\[tokens=(\d+)\]")
+REQUESTED_TOKENS = re.compile(r"\[tokens=(\d+)\]")
 DEFAULT_ANSWER_TOKENS = 12
 
 
 @dataclass(slots=True)
 class EngineOptions:
-    """Speeds and sizes; times are in seconds, memory and lengths in tokens (words)."""
+    """Speeds and sizes; times are in seconds, cache sizes and lengths in tokens (words)."""
 
     max_batch: int = 8
     step_seconds: float = 0.002
@@ -30,30 +30,30 @@
 
 @dataclass(slots=True)
 class Run:
-    """One request inside the engine; its tokens arrive in `tokens`, ended by None."""
+    """One request in the engine; generated tokens are queued in `tokens`, and None ends them."""
 
     attempt: str
     program: str
     prompt: list[str]
     answer: list[str]
     priority: int
-    cached: int = 0
-    done: int = 0
+    cached_tokens: int = 0
+    generated_tokens: int = 0
     cancelled: bool = False
     tokens: LightQueue = field(default_factory=LightQueue)
 
 
 def answer_to(prompt: str, max_tokens: int) -> list[str]:
-    """Return the answer's tokens: it names the prompt, so that a test can tell whose it is."""
-    mark = hashlib.sha256(prompt.encode()).hexdigest()[:8]
-    asked = ASKED_TOKENS.findall(prompt)
-    length = int(asked[-1]) if asked else DEFAULT_ANSWER_TOKENS
-    words = [f"answer-{mark}"] + [f"w{index}" for index in range(1, length)]
+    """Return the answer's tokens; the first holds a hash of the prompt, so that tests can match."""
+    prompt_hash = hashlib.sha256(prompt.encode()).hexdigest()[:8]
+    requested = REQUESTED_TOKENS.findall(prompt)
+    length = int(requested[-1]) if requested else DEFAULT_ANSWER_TOKENS
+    words = [f"answer-{prompt_hash}"] + [f"w{index}" for index in range(1, length)]
     return words[: min(length, max_tokens)]
 
 
 class PrefixCache:
-    """Tokens held for each program; the least recently used program is evicted first."""
+    """Cached tokens of each program; the least recently used program is evicted first."""
 
     __slots__ = ("_capacity", "events", "held")
 
@@ -62,8 +62,8 @@
         self.held: collections.OrderedDict[str, list[str]] = collections.OrderedDict()
         self.events: list[dict] = []
 
-    def shared(self, program: str, prompt: list[str]) -> int:
-        """Return how many leading tokens of the prompt are held."""
+    def shared_prefix_tokens(self, program: str, prompt: list[str]) -> int:
+        """Return how many leading tokens of the prompt are cached."""
         count = 0
         for held, wanted in zip(self.held.get(program, []), prompt, strict=False):
             if held != wanted:
@@ -72,28 +72,28 @@
         return count
 
     def put(self, program: str, tokens: list[str]) -> None:
-        """Hold a program's tokens, evicting others as needed."""
+        """Cache a program's tokens, evicting the least recently used programs as needed."""
         self.held[program] = tokens
         self.held.move_to_end(program)
-        self._note("held", program)
+        self._record_event("held", program)
         while sum(map(len, self.held.values())) > self._capacity:
             evicted, _tokens = self.held.popitem(last=False)
-            self._note("evicted", evicted)
+            self._record_event("evicted", evicted)
 
     def release(self, program: str) -> int:
-        """Free a program's tokens and return how many there were."""
+        """Free a program's tokens and return their number."""
         tokens = self.held.pop(program, None)
         if tokens is None:
             return 0
-        self._note("released", program)
+        self._record_event("released", program)
         return len(tokens)
 
-    def _note(self, kind: str, program: str) -> None:
+    def _record_event(self, kind: str, program: str) -> None:
         self.events.append({"sequence": len(self.events) + 1, "kind": kind, "program": program})
 
 
 class Batch:
-    """Runs up to `max_batch` requests at once; each step gives every one of them a token."""
+    """Runs up to `max_batch` requests at once; each step generates one token for each of them."""
 
     __slots__ = ("_options", "_stepping", "cache", "running", "waiting")
 
@@ -105,7 +105,7 @@
         self.waiting: list[Run] = []
 
     def submit(self, run: Run) -> None:
-        """Take a request; the lowest priority number runs first."""
+        """Queue a request; the lowest priority number runs first."""
         self.waiting.append(run)
         self.waiting.sort(key=lambda waiting: waiting.priority)
         if not self._stepping:
@@ -113,7 +113,7 @@
             eventlet.spawn_n(self._step_loop)
 
     def cancel(self, attempt: str) -> bool:
-        """Stop a request; return whether there was one."""
+        """Cancel a request; return whether it was running or waiting."""
         for run in [*self.running.values(), *self.waiting]:
             if run.attempt == attempt:
                 run.cancelled = True
@@ -134,17 +134,17 @@
         seconds = 0.0
         while self.waiting and len(self.running) < self._options.max_batch:
             run = self.waiting.pop(0)
-            run.cached = self.cache.shared(run.program, run.prompt)
-            uncached = len(run.prompt) - run.cached
+            run.cached_tokens = self.cache.shared_prefix_tokens(run.program, run.prompt)
+            uncached = len(run.prompt) - run.cached_tokens
             seconds += uncached * self._options.prefill_seconds_per_token
             self.running[run.attempt] = run
         return seconds
 
     def _step(self, run: Run) -> None:
-        if run.done < len(run.answer) and not run.cancelled:
-            run.tokens.put(run.answer[run.done])
-            run.done += 1
-        if run.done == len(run.answer) or run.cancelled:
+        if run.generated_tokens < len(run.answer) and not run.cancelled:
+            run.tokens.put(run.answer[run.generated_tokens])
+            run.generated_tokens += 1
+        if run.generated_tokens == len(run.answer) or run.cancelled:
             self.running.pop(run.attempt, None)
-            self.cache.put(run.program, run.prompt + run.answer[: run.done])
+            self.cache.put(run.program, run.prompt + run.answer[: run.generated_tokens])
             run.tokens.put(None)
--- a/libs/fakes/tarragonhall_fakes/_faults.py
+++ b/libs/fakes/tarragonhall_fakes/_faults.py
@@ -1,4 +1,4 @@
-"""Faults on demand: what a test or operator asks a fake to do wrong, and to which requests."""
+"""Fault injection: which faults a test or operator requests of a fake, and for which requests."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class FaultKind(enum.Enum):
-    """What goes wrong. Docs: `docs/dev-guide/engine-protocol.md`."""
+    """Kinds of faults, described in `docs/dev-guide/engine-protocol.md`."""
 
     HANG = "hang"
     CRASH = "crash"
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class Fault:
-    """Befalls the next `times` requests whose body holds `match` (all, with `times` 0)."""
+    """Applies to the next `times` requests whose body contains `match` (to all with `times` 0)."""
 
     kind: FaultKind
     match: str = ""
@@ -31,24 +31,24 @@
 
 @dataclass(slots=True)
 class Faults:
-    """The faults of one fake, in the order in which they were asked for."""
+    """The pending faults of one fake, in the order in which they were added."""
 
     _pending: list[Fault] = field(default_factory=list)
 
     def add(self, fault: Fault) -> None:
-        """Ask for a fault."""
+        """Add a fault."""
         self._pending.append(fault)
 
     def clear(self) -> None:
-        """Forget all faults."""
+        """Remove all faults."""
         self._pending.clear()
 
     def pending(self) -> int:
-        """Return how many faults have not befallen a request yet."""
+        """Return how many faults are pending."""
         return len(self._pending)
 
     def take(self, body: str) -> Fault | None:
-        """Return the fault that befalls a request with this body."""
+        """Return the fault that applies to a request with this body, and count it as used."""
         for fault in self._pending:
             if fault.match not in body:
                 continue
@@ -60,8 +60,8 @@
         return None
 
     def handle(self, exchange) -> bool:
-        """Serve `/faults`; return whether the request was for it."""
-        request = exchange.request_seen
+        """Serve `/faults`; return whether the request had that path."""
+        request = exchange.current_request
         if request.path != "/faults":
             return False
         if request.method == "DELETE":
--- a/libs/fakes/tarragonhall_fakes/_load.py
+++ b/libs/fakes/tarragonhall_fakes/_load.py
@@ -27,10 +27,17 @@
     "--keys", type=click.File(), required=True, help="JSON object with the key of each organisation"
 )
 @click.option("--seed", default=1, show_default=True)
-@click.option("--seconds", default=30.0, show_default=True, help="time over which programs start")
-@click.option("--per-second", default=5.0, show_default=True, help="programs started a second")
-@click.option("--hot-factor", default=1.0, show_default=True, help="for the largest organisation")
-@click.option("--patience", default=60.0, show_default=True, help="seconds for a whole program")
+@click.option("--seconds", default=30.0, show_default=True, help="period in which programs start")
+@click.option("--per-second", default=5.0, show_default=True, help="programs started per second")
+@click.option(
+    "--hot-factor",
+    default=1.0,
+    show_default=True,
+    help="multiplies the rate of the largest organisation",
+)
+@click.option(
+    "--patience", default=60.0, show_default=True, help="timeout of a whole program, in seconds"
+)
 @click.option("--rate", nargs=2, default=(1e9, 1e9), help="rate and burst of each organisation")
 @click.option(
     "--fault",
@@ -54,7 +61,7 @@
     faults: tuple[str, ...],
     output: Path | None,
 ) -> None:
-    """Load a deployment with agent programs and show what their callers received."""
+    """Run agent programs against a deployment and print what their callers received."""
     made = make_workload(workload, seed, seconds, per_second, hot_factor)
     deployment = Deployment(list(entries), list(engines), list(services), json.load(keys))
     actions = [parse_fault(fault) for fault in faults]
@@ -66,7 +73,7 @@
 
 
 def parse_fault(text: str) -> TimedAction:
-    """Return the action of one `--fault`."""
+    """Parse one `--fault` into a timed action."""
     at, _, rest = text.partition("@")
     address, _, fault = rest.partition("=")
     try:
--- a/libs/fakes/tarragonhall_fakes/_load_caller.py
+++ b/libs/fakes/tarragonhall_fakes/_load_caller.py
@@ -1,4 +1,4 @@
-"""Callers: each runs one program call by call through the callers' API, and notes what it gets."""
+"""Callers that run programs call by call through the callers' API and record the replies."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from tarragonhall_fakes._load_workload import ProgramPlan, Step
 
 CALL_TIMEOUT_S = 30.0
-LOST_PAUSE_S = 0.2
-MIN_PAUSE_S = 0.02
+RECONNECT_DELAY_S = 0.2
+MIN_RETRY_DELAY_S = 0.02
 POOL_SIZE = 200
 
 
 @dataclass(slots=True)
-class Sent:
-    """A call as its caller sent it, and the code of the refusal that came back, if one did."""
+class SentCall:
+    """A call that was sent, with the error code of its refusal if it was refused."""
 
     org: str
     at: float
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True)
 class ProgramResult:
-    """What became of one program, sub-agents included. Times count from the start of the load."""
+    """The result of one program, sub-agents included; times count from the start of the load."""
 
     plan: ProgramPlan
     program_ids: list[str] = field(default_factory=list)
@@ -41,41 +41,41 @@
     overrun: str = ""
 
     def tokens_until(self, at: float) -> int:
-        """Return the tokens received until a time."""
+        """Return the tokens received up to a time."""
         return sum(tokens for received, tokens in self.tokens_at if received <= at)
 
     def latency(self) -> float | None:
-        """Return the time from the intended start to the end, if it ended well."""
+        """Return the time from the intended start to the end, or None if it did not finish."""
         return None if self.finished_at is None else self.finished_at - self.plan.at
 
 
 @dataclass(slots=True)
-class Journal:
-    """What all callers saw: each call sent, resends included, and what was refused."""
+class CallLog:
+    """All calls sent, resends included, and the counters that all callers share."""
 
-    sent: list[Sent] = field(default_factory=list)
-    lost: int = 0
+    sent: list[SentCall] = field(default_factory=list)
+    lost_connections: int = 0
     held_by_program: dict[str, int] = field(default_factory=dict)
 
 
-class GaveUpError(Exception):
-    """The program cannot go on."""
+class ProgramAbandonedError(Exception):
+    """The caller abandoned the program; the message gives the reason."""
 
 
 class Callers:
-    """Runs programs against the entries, one after the other for each call."""
+    """Runs programs against the entries, which take the requests in rotation."""
 
     def __init__(
         self,
         entries: list[str],
         key_by_org: dict[str, str],
-        patience_s: float,
+        program_timeout_s: float,
         timeout_s: float = CALL_TIMEOUT_S,
     ) -> None:
-        self.journal = Journal()
+        self.call_log = CallLog()
         self._entries = itertools.cycle(entries)
         self._key_by_org = key_by_org
-        self._patience_s = patience_s
+        self._program_timeout_s = program_timeout_s
         self._timeout_s = timeout_s
         self._started = time.monotonic()
         self._http = urllib3.PoolManager(
@@ -87,33 +87,35 @@
         return time.monotonic() - self._started
 
     def start_clock(self) -> None:
-        """Count times from now."""
+        """Reset the start of the load to now."""
         self._started = time.monotonic()
 
     def run(self, plan: ProgramPlan) -> ProgramResult:
-        """Run a program to its end or until its caller's patience is over."""
+        """Run a program until it ends, fails or times out."""
         result = ProgramResult(plan)
         try:
-            self._run_steps(plan, None, result, plan.at + self._patience_s)
+            self._run_steps(plan, None, result, plan.at + self._program_timeout_s)
             result.finished_at = self.now()
-        except GaveUpError as error:
+        except ProgramAbandonedError as error:
             result.failure = str(error)
         return result
 
     def _run_steps(
-        self, plan: ProgramPlan, parent: str | None, result: ProgramResult, until: float
+        self, plan: ProgramPlan, parent: str | None, result: ProgramResult, deadline: float
     ) -> None:
         body = {"labels": {"name": plan.name}} | ({"parent": parent} if parent else {})
-        opened = self._send(plan.org, "/v1/programs", body, until, {"Idempotency-Key": plan.name})
+        opened = self._send(
+            plan.org, "/v1/programs", body, deadline, {"Idempotency-Key": plan.name}
+        )
         program_id = opened["program_id"]
         result.program_ids.append(program_id)
         history = 0
         for seq, step in enumerate(plan.steps, start=1):
             if step.child is not None:
-                self._run_steps(step.child, program_id, result, until)
+                self._run_steps(step.child, program_id, result, deadline)
             body = _call_body(plan, seq, step, self._timeout_s)
-            held = self.journal.held_by_program.get(program_id, 0)
-            value = self._send(plan.org, f"/v1/programs/{program_id}/calls", body, until)
+            held = self.call_log.held_by_program.get(program_id, 0)
+            value = self._send(plan.org, f"/v1/programs/{program_id}/calls", body, deadline)
             usage = value["answer"]["usage"]
             if step.kind == "model":
                 result.tokens_at.append((self.now(), usage["generated"]))
@@ -122,22 +124,22 @@
                 result.wasted_tokens += min(missing, max(0, held - usage["cached"]))
                 history = usage["prompt"] + usage["generated"]
             eventlet.sleep(step.pause_s)
-        self._send(plan.org, f"/v1/programs/{program_id}/finish", {}, until)
+        self._send(plan.org, f"/v1/programs/{program_id}/finish", {}, deadline)
 
     def _send(
-        self, org: str, path: str, body: dict, until: float, headers: dict | None = None
+        self, org: str, path: str, body: dict, deadline: float, headers: dict | None = None
     ) -> dict:
-        """Send until there is an answer; come back when a refusal says so."""
+        """Send until there is an answer, waiting as long as each refusal requests."""
         while True:
-            sent = Sent(org, self.now())
+            sent = SentCall(org, self.now())
             if path.endswith("/calls"):
-                self.journal.sent.append(sent)
+                self.call_log.sent.append(sent)
             try:
                 status, value = self._post(org, path, body, headers)
             except HTTPError:
-                # The connection broke: the same request again is answered from the journal.
-                self.journal.lost += 1
-                self._pause(LOST_PAUSE_S, until, "lost connection")
+                # The connection was lost: an identical request is answered from the journal.
+                self.call_log.lost_connections += 1
+                self._wait_for_retry(RECONNECT_DELAY_S, deadline, "lost connection")
                 continue
             if status < 300:
                 return value
@@ -145,13 +147,13 @@
             execution = value.get("execution", "")
             sent.code = code
             if execution != "not_run" or value.get("retry_after_ms") is None:
-                raise GaveUpError(f"{code} {execution}")
-            self._pause(value["retry_after_ms"] / 1000, until, code)
+                raise ProgramAbandonedError(f"{code} {execution}")
+            self._wait_for_retry(value["retry_after_ms"] / 1000, deadline, code)
 
-    def _pause(self, seconds: float, until: float, why: str) -> None:
-        seconds = max(MIN_PAUSE_S, seconds)
-        if self.now() + seconds > until:
-            raise GaveUpError(f"patience over: {why}")
+    def _wait_for_retry(self, seconds: float, deadline: float, reason: str) -> None:
+        seconds = max(MIN_RETRY_DELAY_S, seconds)
+        if self.now() + seconds > deadline:
+            raise ProgramAbandonedError(f"program timed out: {reason}")
         eventlet.sleep(seconds)
 
     def _post(self, org: str, path: str, body: dict, headers: dict | None) -> tuple[int, dict]:
@@ -163,8 +165,8 @@
         )
         return response.status, response.json()
 
-    def report(self, org: str, program_id: str) -> dict:
-        """Return a program as the API shows it."""
+    def fetch_program(self, org: str, program_id: str) -> dict:
+        """Return a program's report from the API."""
         response = self._http.request(
             "GET",
             f"http://{next(self._entries)}/v1/programs/{program_id}",
--- a/libs/fakes/tarragonhall_fakes/_load_direct.py
+++ b/libs/fakes/tarragonhall_fakes/_load_direct.py
@@ -1,4 +1,4 @@
-"""Baseline: callers that go straight to the backend servers, round robin, without the scheduler."""
+"""Baseline callers that send directly to the backend servers, round robin, without scheduler."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 import eventlet
 from urllib3.exceptions import HTTPError
 
-from tarragonhall_fakes._load_caller import Callers, GaveUpError, ProgramResult
+from tarragonhall_fakes._load_caller import Callers, ProgramAbandonedError, ProgramResult
 from tarragonhall_fakes._load_workload import ProgramPlan, Step
 
 
 class DirectCallers(Callers):
-    """Callers that keep their histories themselves. Nothing is refused, repeated or in a budget."""
+    """Callers that keep their own history; nothing is rejected, resent or limited by a budget."""
 
     def __init__(self, engines: list[str], services: list[str], **options) -> None:
         super().__init__([], {}, **options)
@@ -21,21 +21,21 @@
         self._services = itertools.cycle(services)
 
     def _run_steps(
-        self, plan: ProgramPlan, parent: str | None, result: ProgramResult, until: float
+        self, plan: ProgramPlan, parent: str | None, result: ProgramResult, deadline: float
     ) -> None:
         result.program_ids.append(plan.name)
         messages: list[dict] = []
         history = 0
         for seq, step in enumerate(plan.steps, start=1):
             if step.child is not None:
-                self._run_steps(step.child, plan.name, result, until)
-            if self.now() > until:
-                raise GaveUpError("patience over")
-            held = self.journal.held_by_program.get(plan.name, 0)
+                self._run_steps(step.child, plan.name, result, deadline)
+            if self.now() > deadline:
+                raise ProgramAbandonedError("program timed out")
+            held = self.call_log.held_by_program.get(plan.name, 0)
             try:
-                done = self._ask(plan, seq, step, messages)
+                done = self._send_step(plan, seq, step, messages)
             except (HTTPError, ValueError) as error:
-                raise GaveUpError(f"failed: {type(error).__name__}") from error
+                raise ProgramAbandonedError(f"failed: {type(error).__name__}") from error
             if done is not None:
                 result.tokens_at.append((self.now(), done["tokens"]))
                 missing = max(0, min(history, done["prompt_tokens"]) - done["cached_tokens"])
@@ -44,7 +44,9 @@
                 history = done["prompt_tokens"] + done["tokens"]
             eventlet.sleep(step.pause_s)
 
-    def _ask(self, plan: ProgramPlan, seq: int, step: Step, messages: list[dict]) -> dict | None:
+    def _send_step(
+        self, plan: ProgramPlan, seq: int, step: Step, messages: list[dict]
+    ) -> dict | None:
         attempt = f"{plan.name}/{seq}/1"
         if step.kind == "service":
             body = json.dumps({"program": plan.name, "seq": seq})
--- a/libs/fakes/tarragonhall_fakes/_load_results.py
+++ b/libs/fakes/tarragonhall_fakes/_load_results.py
@@ -1,4 +1,4 @@
-"""What a load run measured, judged by what callers received and what the fakes saw."""
+"""The measures of a load run, from the replies that callers received and the fakes' records."""
 
 from __future__ import annotations
 
@@ -8,20 +8,28 @@
 from hdrh.histogram import HdrHistogram
 from tabulate import tabulate
 
-from tarragonhall_fakes._load_caller import Journal, ProgramResult
+from tarragonhall_fakes._load_caller import CallLog, ProgramResult
 from tarragonhall_fakes._load_workload import Workload
 
 MAX_LATENCY_MS = 600_000
-# Refusals for want of capacity or tokens; others tell the caller of a mistake of its own.
-COUNTED_SHARE = 0.8
-LOAD_CODES = {"rate_exceeded", "overloaded", "deadline", "no_server", "stale", "unavailable"}
+# Fairness counts programs that start in this part of the load, which can be served before its end.
+FAIRNESS_WINDOW_SHARE = 0.8
+# Refusals for lack of capacity or rate; other codes report a mistake of the caller.
+CAPACITY_REFUSAL_CODES = {
+    "rate_exceeded",
+    "overloaded",
+    "deadline",
+    "no_server",
+    "stale",
+    "unavailable",
+}
 
 
 @dataclass(slots=True)
 class LoadResult:
     """The measures of one run. Latencies are in ms, from the intended start of each program.
 
-    `others` are all organisations but the largest, which is the hot one in overload.
+    `others` are all organisations except the largest, which causes the overload.
     """
 
     name: str
@@ -50,18 +58,18 @@
     finished_by_org: dict[str, str] = field(default_factory=dict)
 
     def as_json(self) -> dict:
-        """Return the result as plain values."""
+        """Return the result as a dict of JSON values."""
         return asdict(self)
 
 
-def judge(
+def summarize(
     name: str,
     workload: Workload,
     results: list[ProgramResult],
-    journal: Journal,
+    call_log: CallLog,
     rate: tuple[float, float],
 ) -> LoadResult:
-    """Return the measures of a run; `rate` is each organisation's rate and burst."""
+    """Return the measures of a run; `rate` is the rate and burst of each organisation."""
     result = LoadResult(name, programs=len(results))
     histogram = HdrHistogram(1, MAX_LATENCY_MS, 3)
     others = HdrHistogram(1, MAX_LATENCY_MS, 3)
@@ -78,17 +86,17 @@
     result.p50_ms = _percentile(histogram, 50)
     result.p95_ms = _percentile(histogram, 95)
     result.p99_ms = _percentile(histogram, 99)
-    result.slowest_id = slowest(results)
+    result.slowest_id = slowest_program_id(results)
     result.others_p50_ms = _percentile(others, 50)
     result.others_p95_ms = _percentile(others, 95)
     result.wasted_tokens = sum(program.wasted_tokens for program in results)
     result.recomputed_tokens = sum(program.recomputed_tokens for program in results)
     result.budget_overruns = sum(1 for program in results if program.overrun)
-    refused = collections.Counter(sent.code for sent in journal.sent if sent.code)
+    refused = collections.Counter(sent.code for sent in call_log.sent if sent.code)
     result.refusals = refused.total()
     result.refusals_by_code = dict(refused)
-    result.wrongful_refusals = wrongful_refusals(journal, *rate)
-    result.lost_connections = journal.lost
+    result.wrongful_refusals = wrongful_refusals(call_log, *rate)
+    result.lost_connections = call_log.lost_connections
     result.worst_org, result.worst_share = worst_served(workload, results)
     for org in workload.org_ids:
         own = [program for program in results if program.plan.org == org]
@@ -101,36 +109,36 @@
     return histogram.get_value_at_percentile(percentile) if histogram.total_count else 0.0
 
 
-def slowest(results: list[ProgramResult]) -> str:
-    """Return the id of the finished program that took longest, to look at its time line."""
+def slowest_program_id(results: list[ProgramResult]) -> str:
+    """Return the id of the finished program that took longest, to inspect its time line."""
     finished = [program for program in results if program.finished_at is not None]
     ids = [program.program_ids for program in sorted(finished, key=ProgramResult.latency)]
     return ids[-1][0] if ids and ids[-1] else ""
 
 
 def worst_served(workload: Workload, results: list[ProgramResult]) -> tuple[str, float]:
-    """Return the organisation with the least share received of its share due, and that ratio.
+    """Return the organisation with the lowest ratio of tokens received to its fair share, and it.
 
-    Counted are the programs meant to start in the first part of the load, and what they received
-    before the load ended: what is served to everybody afterwards says nothing of fairness. What was
-    received in all is divided by max-min fairness: nobody is due more than it asked for, and what
-    one does not ask for goes evenly to the others.
+    Only programs that start in the first part of the load count, with the tokens they received
+    before it ended: what is served once the load is over says nothing about fairness. The fair
+    shares divide all tokens received by max-min fairness: no share exceeds the demand, and what one
+    organisation leaves unused is divided evenly among the others.
     """
     wanted = dict.fromkeys(workload.org_ids, 0.0)
     received = dict.fromkeys(workload.org_ids, 0.0)
     for program in results:
-        if program.plan.at > COUNTED_SHARE * workload.seconds:
+        if program.plan.at > FAIRNESS_WINDOW_SHARE * workload.seconds:
             continue
         wanted[program.plan.org] += program.plan.tokens()
         received[program.plan.org] += program.tokens_until(workload.seconds)
-    due = max_min(wanted, sum(received.values()))
+    due = max_min_shares(wanted, sum(received.values()))
     ratios = {org: received[org] / due[org] for org in wanted if due[org] > 0}
     worst = min(ratios, key=ratios.get, default="")
     return worst, ratios.get(worst, 1.0)
 
 
-def max_min(wanted: dict[str, float], total: float) -> dict[str, float]:
-    """Divide a total over claims so that the smallest claims are met first."""
+def max_min_shares(wanted: dict[str, float], total: float) -> dict[str, float]:
+    """Divide a total among demands by max-min fairness: the smallest demands are met first."""
     due: dict[str, float] = {}
     left = total
     for index, org in enumerate(sorted(wanted, key=wanted.get)):
@@ -140,20 +148,20 @@
     return due
 
 
-def wrongful_refusals(journal: Journal, per_second: float, burst: float) -> int:
-    """Count the calls refused although their organisation was inside its rate and burst.
+def wrongful_refusals(call_log: CallLog, per_second: float, burst: float) -> int:
+    """Count the calls refused although their organisation was within its rate and burst.
 
-    Judged at the instant of sending, against all calls that it had sent before and that were not
-    refused.
+    A token bucket decides at the time of sending, charged with the organisation's earlier calls
+    that were not refused.
     """
     count = 0
     level_by_org: dict[str, float] = {}
     last_by_org: dict[str, float] = {}
-    for sent in sorted(journal.sent, key=lambda item: item.at):
+    for sent in sorted(call_log.sent, key=lambda item: item.at):
         level = level_by_org.get(sent.org, burst)
         level = min(burst, level + (sent.at - last_by_org.get(sent.org, 0.0)) * per_second)
         last_by_org[sent.org] = sent.at
-        if sent.code in LOAD_CODES:
+        if sent.code in CAPACITY_REFUSAL_CODES:
             count += level >= 1.0
         else:
             level -= 1.0
@@ -181,6 +189,6 @@
 
 
 def table(results: list[LoadResult], style: str = "simple") -> str:
-    """Return the results as a table, a run on each line."""
+    """Return the results as a table with one row for each run."""
     rows = [[getattr(result, column) for column in COLUMNS] for result in results]
     return tabulate(rows, headers=list(COLUMNS.values()), tablefmt=style, floatfmt=".2f")
--- a/libs/fakes/tarragonhall_fakes/_load_run.py
+++ b/libs/fakes/tarragonhall_fakes/_load_run.py
@@ -1,4 +1,4 @@
-"""Run a workload open loop: every program starts at its intended time, come what may."""
+"""Run a workload as an open loop: programs start at their intended times, whatever the load."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 
 from tarragonhall_fakes._load_caller import Callers, ProgramResult
 from tarragonhall_fakes._load_direct import DirectCallers
-from tarragonhall_fakes._load_results import LoadResult, judge
+from tarragonhall_fakes._load_results import LoadResult, summarize
 from tarragonhall_fakes._load_workload import Workload
 
-HELD_EVERY_S = 0.25
-# Ended programs' memory is released at once. Where that message is lost, sidecars compare with the
-# journal every 20 s; what a listing still shows after that is orphaned.
+HELD_POLL_S = 0.25
+# The memory of a program is released when it ends. If that message is lost, sidecars compare with
+# the journal every 20 s; tokens that an engine still holds after that are orphaned.
 RELEASE_GRACE_S = 25.0
 RELEASE_POLL_S = 0.5
 
 
 @dataclass(slots=True)
 class Deployment:
-    """Where the system and the fakes behind it are reached."""
+    """Addresses of the entries and the fakes, and a key for each organisation."""
 
     entries: list[str]
     engines: list[str]
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True)
 class TimedAction:
-    """Something to do at a time after the start, such as a fault or the end of a process."""
+    """An action at `at` seconds after the start, such as a fault or the kill of a process."""
 
     at: float
     action: Callable[[], None]
@@ -44,13 +44,13 @@
 
 @dataclass(slots=True)
 class LoadOptions:
-    """How callers behave: their patience for a program, and each organisation's rate and burst.
+    """Timeouts of a program and of a call, and the rate and burst of each organisation.
 
-    With `direct` they go straight to the backend servers, for comparison.
+    With `direct`, callers send to the backend servers without the scheduler, for comparison.
     """
 
     name: str
-    patience_s: float = 60.0
+    program_timeout_s: float = 60.0
     timeout_s: float = 30.0
     rate: tuple[float, float] = (1e9, 1e9)
     direct: bool = False
@@ -58,55 +58,55 @@
 
 
 def run_load(workload: Workload, deployment: Deployment, options: LoadOptions) -> LoadResult:
-    """Run a workload to its end and return what was measured."""
+    """Run a workload to its end and return its measures."""
     callers = _make_callers(deployment, options)
-    watcher = eventlet.spawn(_watch_held, callers, deployment)
+    poller = eventlet.spawn(_poll_held_tokens, callers, deployment)
     callers.start_clock()
     actions = [eventlet.spawn_after(item.at, item.action) for item in options.actions]
     pool = eventlet.GreenPool(10_000)
     threads = []
     for plan in workload.programs:
-        # Open loop: a late start counts against the system, since latency counts from `plan.at`.
+        # A late start adds to the latency, which counts from `plan.at`.
         eventlet.sleep(max(0.0, plan.at - callers.now()))
         threads.append(pool.spawn(callers.run, plan))
     results = [thread.wait() for thread in threads]
     for action in actions:
         action.wait()
-    watcher.kill()
+    poller.kill()
     if not options.direct:
         _check_budgets(callers, results)
-    result = judge(options.name, workload, results, callers.journal, options.rate)
+    result = summarize(options.name, workload, results, callers.call_log, options.rate)
     result.orphaned_tokens = orphaned_tokens(deployment, results)
     _check_effects(deployment, workload, results, result)
     return result
 
 
 def _make_callers(deployment: Deployment, options: LoadOptions) -> Callers:
-    patience = {"patience_s": options.patience_s, "timeout_s": options.timeout_s}
+    timeouts = {"program_timeout_s": options.program_timeout_s, "timeout_s": options.timeout_s}
     if options.direct:
-        return DirectCallers(deployment.engines, deployment.services, **patience)
-    return Callers(deployment.entries, deployment.key_by_org, **patience)
+        return DirectCallers(deployment.engines, deployment.services, **timeouts)
+    return Callers(deployment.entries, deployment.key_by_org, **timeouts)
 
 
 def post_fault(address: str, fault: dict) -> None:
-    """Ask a fake for a fault."""
+    """Add a fault to a fake."""
     urllib3.request("POST", f"http://{address}/faults", json=fault, retries=False)
 
 
 def clear_faults(address: str) -> None:
-    """Let a fake behave again."""
+    """Remove all faults of a fake."""
     urllib3.request("DELETE", f"http://{address}/faults", retries=False)
 
 
-def _watch_held(callers: Callers, deployment: Deployment) -> None:
-    """Note, four times a second, how many tokens of each program any engine holds."""
+def _poll_held_tokens(callers: Callers, deployment: Deployment) -> None:
+    """Record the most tokens of each program that one engine holds, four times a second."""
     while True:
         held: dict[str, int] = {}
         for engine in deployment.engines:
             for item in _held(engine):
                 held[item["program"]] = max(held.get(item["program"], 0), item["tokens"])
-        callers.journal.held_by_program = held
-        eventlet.sleep(HELD_EVERY_S)
+        callers.call_log.held_by_program = held
+        eventlet.sleep(HELD_POLL_S)
 
 
 def _held(engine: str) -> list[dict]:
@@ -142,26 +142,26 @@
         if not result.program_ids:
             continue
         try:
-            report = callers.report(result.plan.org, result.program_ids[0])
+            program = callers.fetch_program(result.plan.org, result.program_ids[0])
         except HTTPError:
             continue
-        if "spent" not in report:
+        if "spent" not in program:
             continue
         for name in ("tokens", "calls"):
-            if report["spent"][name] > report["budget"][name]:
+            if program["spent"][name] > program["budget"][name]:
                 result.overrun = name
 
 
 def _check_effects(
-    deployment: Deployment, workload: Workload, results: list[ProgramResult], into: LoadResult
+    deployment: Deployment, workload: Workload, results: list[ProgramResult], totals: LoadResult
 ) -> None:
-    """Compare the services' ledgers with what finished programs asked for."""
+    """Compare the services' ledgers with the calls of finished programs."""
     count_by_body: collections.Counter[str] = collections.Counter()
     for service in deployment.services:
         effects = urllib3.request("GET", f"http://{service}/ledger").json()["effects"]
-        count_by_body.update(_key(effect["body"]) for effect in effects)
+        count_by_body.update(_effect_key(effect["body"]) for effect in effects)
     names = {plan.name for plan in workload.programs}
-    into.doubled_effects = sum(
+    totals.doubled_effects = sum(
         count - 1 for key, count in count_by_body.items() if key.rpartition("/")[0] in names
     )
     for result in results:
@@ -169,9 +169,9 @@
             continue
         for seq, step in enumerate(result.plan.steps, start=1):
             if step.kind == "service" and not count_by_body[f"{result.plan.name}/{seq}"]:
-                into.missing_effects += 1
+                totals.missing_effects += 1
 
 
-def _key(body: str) -> str:
+def _effect_key(body: str) -> str:
     value = json.loads(body)
     return f"{value.get('program')}/{value.get('seq')}"
--- a/libs/fakes/tarragonhall_fakes/_processes.py
+++ b/libs/fakes/tarragonhall_fakes/_processes.py
@@ -21,11 +21,11 @@
 
 
 class ProcessError(RuntimeError):
-    """A process ended early or did not become ready; the message holds the end of its log."""
+    """A process exited early or did not become ready; the message holds the end of its log."""
 
 
 class LocalProcess:
-    """One process of a deployment on this machine, with its log in a file."""
+    """A child process that writes its output to a log file."""
 
     __slots__ = ("_popen", "command", "log_file")
 
@@ -42,16 +42,16 @@
         return self._popen.pid
 
     def running(self) -> bool:
-        """Return whether the process has not ended."""
+        """Return whether the process has not exited."""
         return self._popen.poll() is None
 
     def wait_ready(self, url: str) -> None:
-        """Wait until a GET of the URL answers 200."""
+        """Wait until a GET of the URL returns 200."""
         http = urllib3.PoolManager(retries=False, timeout=2.0)
         deadline = time.monotonic() + READY_SECONDS
         while time.monotonic() < deadline:
             if not self.running():
-                raise ProcessError(f"{self.command[0]} ended early:\n{self._log_tail()}")
+                raise ProcessError(f"{self.command[0]} exited early:\n{self._log_tail()}")
             try:
                 if http.request("GET", url).status == 200:
                     return
@@ -61,26 +61,26 @@
         raise ProcessError(f"{url} did not become ready:\n{self._log_tail()}")
 
     def kill(self) -> None:
-        """End the process without warning."""
+        """Kill the process with SIGKILL."""
         self._popen.kill()
         self._popen.wait()
 
     def pause(self) -> None:
-        """Stop the process where it is; `resume` lets it go on."""
+        """Suspend the process with SIGSTOP."""
         os.kill(self.pid, signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let a paused process go on."""
+        """Resume a paused process."""
         os.kill(self.pid, signal.SIGCONT)
 
-    def ask_to_stop(self) -> None:
-        """Ask the process for a graceful stop."""
+    def request_stop(self) -> None:
+        """Request a graceful stop with SIGTERM, if the process is running."""
         if self.running():
             self._popen.terminate()
 
     def stop(self, timeout_s: float = STOP_SECONDS) -> int:
         """Stop the process gracefully, or kill it after the timeout; return its exit code."""
-        self.ask_to_stop()
+        self.request_stop()
         try:
             return self._popen.wait(timeout_s)
         except subprocess.TimeoutExpired:
@@ -97,7 +97,7 @@
 
 
 def run_script(name: str, *arguments: str, timeout_s: float = 60.0) -> str:
-    """Run a console script to its end and return what it printed; raise where it failed."""
+    """Run a console script and return its standard output; raise ProcessError if it fails."""
     done = subprocess.run(
         [script(name), *arguments], capture_output=True, text=True, timeout=timeout_s, check=False
     )
--- a/libs/fakes/tarragonhall_fakes/_relay.py
+++ b/libs/fakes/tarragonhall_fakes/_relay.py
@@ -1,7 +1,7 @@
-"""A TCP relay between two processes that can swallow packets without a reset, in one direction.
+"""A TCP relay between two processes that can drop data without a reset, in one direction or both.
 
-It stands for a firewall or address translator that has forgotten a connection: both ends still
-believe in it, and nothing they send arrives. New connections through the relay work again.
+It imitates a firewall or address translator that lost the state of a connection: both ends consider
+it open, and nothing they send arrives. New connections through the relay work.
 """
 
 from __future__ import annotations
@@ -15,30 +15,30 @@
 
 
 class Relay:
-    """Forwards connections to `target`; `address` is where to connect."""
+    """Listens on `address` and forwards each connection to `target`."""
 
-    __slots__ = ("_connections", "_listener", "_swallow_new", "address", "target")
+    __slots__ = ("_connections", "_listener", "_drop_new", "address", "target")
 
     def __init__(self, target: str) -> None:
         self.target = target
         self._listener = eventlet.listen(("127.0.0.1", 0), reuse_port=False)
         self.address = f"127.0.0.1:{self._listener.getsockname()[1]}"
         self._connections: list[_Connection] = []
-        self._swallow_new = False
+        self._drop_new = False
         eventlet.spawn_n(self._accept_loop)
 
     def silence(self, forth: bool = True, back: bool = True, new: bool = False) -> None:
-        """Swallow what the open connections carry; with `new`, also on later connections."""
+        """Drop the data of the open connections; with `new`, also that of later connections."""
         for connection in self._connections:
-            connection.swallow_forth = connection.swallow_forth or forth
-            connection.swallow_back = connection.swallow_back or back
-        self._swallow_new = new
+            connection.drop_to_target = connection.drop_to_target or forth
+            connection.drop_to_client = connection.drop_to_client or back
+        self._drop_new = new
 
     def heal(self) -> None:
-        """Forward again on every connection; what was swallowed stays lost."""
-        self._swallow_new = False
+        """Forward again on every connection; dropped data stays lost."""
+        self._drop_new = False
         for connection in self._connections:
-            connection.swallow_forth = connection.swallow_back = False
+            connection.drop_to_target = connection.drop_to_client = False
 
     def reset(self) -> None:
         """Close every open connection."""
@@ -54,57 +54,57 @@
     def _accept_loop(self) -> None:
         while True:
             try:
-                near, _peer = self._listener.accept()
+                client, _peer = self._listener.accept()
             except OSError:
                 return
-            eventlet.spawn_n(self._start, near)
+            eventlet.spawn_n(self._start, client)
 
-    def _start(self, near) -> None:
+    def _start(self, client) -> None:
         host, _, port = self.target.rpartition(":")
         try:
-            far = socket.create_connection((host, int(port)))
+            upstream = socket.create_connection((host, int(port)))
         except OSError:
-            near.close()
+            client.close()
             return
-        connection = _Connection(near, far, self._swallow_new)
+        connection = _Connection(client, upstream, self._drop_new)
         self._connections.append(connection)
-        eventlet.spawn_n(connection.pump_forth)
-        eventlet.spawn_n(connection.pump_back)
+        eventlet.spawn_n(connection.forward_to_target)
+        eventlet.spawn_n(connection.forward_to_client)
 
 
 class _Connection:
-    __slots__ = ("_far", "_near", "swallow_back", "swallow_forth")
+    __slots__ = ("_upstream", "_client", "drop_to_client", "drop_to_target")
 
-    def __init__(self, near, far, swallow: bool) -> None:
-        self._near = near
-        self._far = far
-        self.swallow_forth = swallow
-        self.swallow_back = swallow
+    def __init__(self, client, upstream, drop: bool) -> None:
+        self._client = client
+        self._upstream = upstream
+        self.drop_to_target = drop
+        self.drop_to_client = drop
 
-    def pump_forth(self) -> None:
-        self._pump(self._near, self._far, lambda: self.swallow_forth)
+    def forward_to_target(self) -> None:
+        self._forward(self._client, self._upstream, lambda: self.drop_to_target)
 
-    def pump_back(self) -> None:
-        self._pump(self._far, self._near, lambda: self.swallow_back)
+    def forward_to_client(self) -> None:
+        self._forward(self._upstream, self._client, lambda: self.drop_to_client)
 
     def close(self) -> None:
-        for end in (self._near, self._far):
+        for end in (self._client, self._upstream):
             with contextlib.suppress(OSError):
                 end.shutdown(socket.SHUT_RDWR)
             end.close()
 
-    def _pump(self, source, sink, swallows) -> None:
+    def _forward(self, source, sink, should_drop) -> None:
         while True:
             try:
                 data = source.recv(CHUNK_BYTES)
-                if data and swallows():
+                if data and should_drop():
                     continue
                 if not data:
                     break
                 sink.sendall(data)
             except (OSError, EOFError):
-                # eventlet reports a socket that another green thread closed as the end of file.
+                # eventlet raises EOFError for a socket that another green thread closed.
                 break
-        # A silent connection hides even its end.
-        if not swallows():
+        # While data is dropped, the end of the connection is hidden from the other side too.
+        if not should_drop():
             self.close()
--- a/libs/fakes/tarragonhall_fakes/_server.py
+++ b/libs/fakes/tarragonhall_fakes/_server.py
@@ -1,4 +1,4 @@
-"""A small HTTP server whose connections can misbehave, which library servers do not allow."""
+"""A small HTTP server that can hang, truncate or crash, which library servers do not allow."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 import eventlet
 
 BACKLOG = 1_024
-# Enough to test what reached the server, without growing under load.
-RECEIVED_KEPT = 1_000
+# Bounds the memory under load.
+MAX_RECEIVED = 1_000
 CRASH_EXIT_CODE = 70
 
 
 class CrashedError(Exception):
-    """The fake has crashed while it served this request."""
+    """The fake crashed while it served this request."""
 
 
 @dataclass(slots=True)
-class Received:
-    """One request as it reached the server."""
+class ReceivedRequest:
+    """One request that reached the server."""
 
     method: str
     path: str
@@ -39,20 +39,20 @@
 class FakeServer:
     """Accepts connections and gives each request to `respond(exchange)`, until it crashes.
 
-    `exits` is set where the fake is a process of its own: a crash then ends the process. Otherwise
-    a crash closes the listener and every connection, so that the address refuses connections.
+    With `exit_on_crash`, set where the fake is a process of its own, a crash ends the process.
+    Otherwise it closes the listener and every connection, so that connections are refused.
     """
 
     respond: Callable[[Exchange], None]
     address: str
-    exits: bool = False
-    received: list[Received] = field(default_factory=list)
+    exit_on_crash: bool = False
+    received: list[ReceivedRequest] = field(default_factory=list)
     crashed: bool = False
     _listener: object = None
     _connections: set = field(default_factory=set)
 
     def start(self) -> None:
-        """Listen on `address`; port 0 takes a free one, which `address` then names."""
+        """Listen on `address`; port 0 takes a free port and updates `address`."""
         host, _, port = self.address.rpartition(":")
         self._listener = eventlet.listen((host, int(port)), backlog=BACKLOG, reuse_port=False)
         self.address = f"{host}:{self._listener.getsockname()[1]}"
@@ -60,8 +60,8 @@
         eventlet.spawn_n(self._accept_loop, self._listener)
 
     def crash(self) -> None:
-        """End as a killed process does: no answers, no goodbyes, connections refused."""
-        if self.exits:
+        """End like a killed process: no responses, no shutdown notice, connections refused."""
+        if self.exit_on_crash:
             os._exit(CRASH_EXIT_CODE)
         self.crashed = True
         # Shut down before close: a green thread blocked in `accept` keeps a closed listener alive.
@@ -97,20 +97,22 @@
 
 
 class Exchange(BaseHTTPRequestHandler):
-    """One connection; `request_seen` holds the request at hand."""
+    """One connection; `current_request` is the request being served."""
 
     protocol_version = "HTTP/1.1"
 
-    def handle_any(self) -> None:
-        """Read the body and hand the request over."""
+    def handle_request(self) -> None:
+        """Read the body, record the request and pass it to the server's `respond`."""
         length = int(self.headers.get("Content-Length") or 0)
         headers = {name.lower(): value for name, value in self.headers.items()}
-        self.request_seen = Received(self.command, self.path, headers, self.rfile.read(length))
-        self.server.received.append(self.request_seen)
-        del self.server.received[:-RECEIVED_KEPT]
+        self.current_request = ReceivedRequest(
+            self.command, self.path, headers, self.rfile.read(length)
+        )
+        self.server.received.append(self.current_request)
+        del self.server.received[:-MAX_RECEIVED]
         self.server.respond(self)
 
-    do_GET = do_POST = do_PUT = do_DELETE = handle_any  # noqa: N815 - names set by the library
+    do_GET = do_POST = do_PUT = do_DELETE = handle_request  # noqa: N815 - names set by the library
 
     def reply(self, value: object, status: int = 200, headers: dict | None = None) -> None:
         """Send a whole JSON response."""
@@ -119,7 +121,7 @@
     def reply_bytes(
         self, body: bytes, status: int = 200, headers: dict | None = None, missing: int = 0
     ) -> None:
-        """Send a response whose stated length is larger by `missing` than what is sent."""
+        """Send a response whose Content-Length exceeds the body sent by `missing` bytes."""
         self.send_response(status)
         self.send_header("Content-Type", "application/json")
         self.send_header("Content-Length", str(len(body) + missing))
@@ -130,20 +132,20 @@
         if missing:
             self.close_connection = True
 
-    def start_events(self) -> None:
-        """Begin a response of server-sent events that ends with the connection."""
+    def start_event_stream(self) -> None:
+        """Start a response of server-sent events; closing the connection ends it."""
         self.send_response(200)
         self.send_header("Content-Type", "text/event-stream")
         self.send_header("Connection", "close")
         self.end_headers()
         self.close_connection = True
 
-    def event(self, kind: str, value: dict) -> None:
-        """Send one event."""
+    def send_event(self, kind: str, value: dict) -> None:
+        """Send one server-sent event."""
         self.wfile.write(f"event: {kind}\ndata: {json.dumps(value)}\n\n".encode())
 
     def hang(self) -> None:
-        """Keep the connection open and never say anything more on it."""
+        """Keep the connection open and send nothing more on it."""
         while not self.server.crashed:
             eventlet.sleep(0.2)
         raise CrashedError
@@ -154,12 +156,12 @@
         raise CrashedError
 
     def log_message(self, *_args) -> None:
-        """Log nothing."""
+        """Disable the library's access log."""
 
 
 def serve_process(server: FakeServer) -> None:
-    """Serve in a process of its own until it is ended."""
-    server.exits = True
+    """Run the server in this process until it is killed."""
+    server.exit_on_crash = True
     server.start()
     print(f"listening on {server.address}", flush=True)
     eventlet.event.Event().wait()
--- a/libs/fakes/tarragonhall_fakes/_service.py
+++ b/libs/fakes/tarragonhall_fakes/_service.py
@@ -1,4 +1,4 @@
-"""A plain service whose calls take effect once for each request that reaches it."""
+"""A plain service in which each request that arrives takes effect once."""
 
 from __future__ import annotations
 
@@ -16,23 +16,23 @@
 
 @dataclass(slots=True)
 class Service:
-    """Keeps a ledger of effects and promises no idempotency: two requests are two effects."""
+    """Records each effect in a ledger; it is not idempotent: two requests are two effects."""
 
     seconds_per_call: float = 0.0
     faults: Faults = field(default_factory=Faults)
     ledger: list[dict] = field(default_factory=list)
-    life: str = field(default_factory=lambda: uuid.uuid4().hex)
+    incarnation: str = field(default_factory=lambda: uuid.uuid4().hex)
 
     def respond(self, exchange: Exchange) -> None:
         """Serve one request."""
-        request = exchange.request_seen
+        request = exchange.current_request
         if self.faults.handle(exchange):
             return
         if request.path == "/ledger":
             exchange.reply({"effects": self.ledger})
             return
         if request.path == "/health":
-            exchange.reply({"life": self.life})
+            exchange.reply({"life": self.incarnation})
             return
         if request.method != "POST":
             exchange.reply({"error": "not found"}, status=404)
@@ -40,7 +40,7 @@
         self._call(exchange, self.faults.take(request.body.decode()))
 
     def _call(self, exchange: Exchange, fault: Fault | None) -> None:
-        request = exchange.request_seen
+        request = exchange.current_request
         kind = fault.kind if fault else None
         if kind is FaultKind.SILENT:
             exchange.hang()
--- a/libs/fakes/tests/fakes_tests.py
+++ b/libs/fakes/tests/fakes_tests.py
@@ -1,4 +1,4 @@
-"""The fakes do what their protocol page says."""
+"""The fakes follow the protocol in `docs/dev-guide/engine-protocol.md`."""
 
 from __future__ import annotations
 
@@ -72,7 +72,7 @@
     server.stop()
 
 
-def test_an_engine_that_checks_fencing_refuses_an_older_order():
+def test_an_engine_that_checks_fencing_rejects_an_older_order():
     _engine, server = start_engine(options=EngineOptions(fencing_enforced=True))
     order = {"order": "o", "action": "load", "model": "m", "version": "1"}
     url = f"http://{server.address}/v1/orders"
@@ -97,7 +97,7 @@
     assert [effect["name"] for effect in made.ledger] == ["bill", "bill"]
 
 
-def test_faults_are_asked_for_over_http(service):
+def test_faults_are_requested_over_http(service):
     made, url, _server = service
     http.request("POST", f"{url}/faults", json={"kind": "truncated"})
     with pytest.raises(urllib3.exceptions.HTTPError):
--- a/tools/measure.py
+++ b/tools/measure.py
@@ -165,7 +165,7 @@
     def stop(self) -> None:
         """Stop every process, servers last."""
         for process in reversed(self.process_by_name.values()):
-            process.ask_to_stop()
+            process.request_stop()
         for process in self.process_by_name.values():
             process.stop()
 
--- a/tools/run_deployment.py
+++ b/tools/run_deployment.py
@@ -69,7 +69,7 @@
 def stop_all(started: list[LocalProcess]) -> None:
     """Ask every process to stop, then wait for each."""
     for process in started:
-        process.ask_to_stop()
+        process.request_stop()
     for process in started:
         process.stop()
 
