--- a/benchmarks/consensus_bench.py
+++ b/benchmarks/consensus_bench.py
@@ -1,8 +1,8 @@
 """Commit rate, latency, recovery time and memory of the replicated log, with real syncs.
 
-All members run in one process on one thread and hand messages over directly. So the syncs of
-three or five members follow one another here, which on machines of their own they would not:
-the rates for several members are a lower bound, the latencies an upper one.
+All members run on one thread of one process and pass messages directly. The syncs of several
+members therefore run one after the other, where on separate machines they would run in parallel:
+the rates of several members are a lower bound, the latencies an upper bound.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 
 
 class Store:
-    """A machine whose state is the last value of each of a bounded number of keys."""
+    """A state machine that stores the last value of each of a bounded number of keys."""
 
     def __init__(self) -> None:
         self.value_by_key: dict[int, bytes] = {}
@@ -56,11 +56,11 @@
 
 
 @dataclass(slots=True)
-class Round:
-    """What one setting gave."""
+class CommitCost:
+    """The result of one row of the commit table."""
 
     members: int
-    waiting: int
+    pending: int
     rate: float
     p50_ms: float
     p99_ms: float
@@ -69,28 +69,28 @@
 
 
 class Group:
-    """A few members that hand one another messages through the codec, as links do."""
+    """Members that pass messages to one another through the codec, as links do."""
 
     def __init__(self, folder: Path, count: int, limits: Limits | None = None) -> None:
-        founders = [Member(f"m{number}", "", "") for number in range(count)]
+        members = [Member(f"m{number}", "", "") for number in range(count)]
         now = time.monotonic()
         self.replica_by_id = {
-            f.member_id: open_replica(
-                str(folder / f.member_id), f.member_id, "", founders, Store(),
-                random.Random(f.member_id), now, limits,
+            member.member_id: open_replica(
+                str(folder / member.member_id), member.member_id, "", members, Store(),
+                random.Random(member.member_id), now, limits,
             )  # fmt: skip
-            for f in founders
+            for member in members
         }
         self.inbox_by_id = {member_id: [] for member_id in self.replica_by_id}
         self.leader = ""
         while not self.leader:
-            self.turn([Tick()])
+            self.step_all([Tick()])
             for member_id, replica in self.replica_by_id.items():
                 if replica.is_leader(time.monotonic()):
                     self.leader = member_id
 
-    def turn(self, events: list) -> list[ProposalDone]:
-        """Step every member once with its messages, the leader also with the events."""
+    def step_all(self, events: list) -> list[ProposalDone]:
+        """Step every member once with its messages, and the leader also with the events."""
         done = []
         for member_id, replica in self.replica_by_id.items():
             inbox, self.inbox_by_id[member_id] = self.inbox_by_id[member_id], []
@@ -110,33 +110,33 @@
             replica.close()
 
 
-def measure_commits(folder: Path, count: int, waiting: int, seconds: float) -> Round:
-    """Keep `waiting` proposals under way for a while."""
+def measure_commits(folder: Path, count: int, pending: int, seconds: float) -> CommitCost:
+    """Measure commits with `pending` proposals in flight for some seconds."""
     group = Group(folder, count)
     tokens = itertools.count()
     data = random.Random(1).randbytes(ENTRY_BYTES)
-    begun_by_token: dict[int, float] = {}
+    started_by_token: dict[int, float] = {}
     latencies = []
     syncs = group.replica_by_id[group.leader]._core.storage.syncs
-    begun = time.monotonic()
-    while time.monotonic() - begun < seconds:
+    started = time.monotonic()
+    while time.monotonic() - started < seconds:
         events = []
-        for _ in range(waiting - len(begun_by_token)):
+        for _ in range(pending - len(started_by_token)):
             token = next(tokens)
-            begun_by_token[token] = time.monotonic()
+            started_by_token[token] = time.monotonic()
             events.append(ProposeData(token, data))
-        for output in group.turn(events or [Tick()]):
-            latencies.append(time.monotonic() - begun_by_token.pop(output.token))
-    taken = time.monotonic() - begun
+        for output in group.step_all(events or [Tick()]):
+            latencies.append(time.monotonic() - started_by_token.pop(output.token))
+    elapsed = time.monotonic() - started
     syncs = group.replica_by_id[group.leader]._core.storage.syncs - syncs
     group.close()
-    cuts = statistics.quantiles(latencies, n=100)
-    return Round(
+    percentiles = statistics.quantiles(latencies, n=100)
+    return CommitCost(
         count,
-        waiting,
-        len(latencies) / taken,
-        cuts[49] * 1e3,
-        cuts[98] * 1e3,
+        pending,
+        len(latencies) / elapsed,
+        percentiles[49] * 1e3,
+        percentiles[98] * 1e3,
         syncs,
         len(latencies),
     )
@@ -147,44 +147,44 @@
     times = []
     descriptor = os.open(folder / "sync", os.O_WRONLY | os.O_CREAT | os.O_APPEND)
     for _ in range(500):
-        begun = time.monotonic()
+        started = time.monotonic()
         os.write(descriptor, bytes(ENTRY_BYTES))
         os.fdatasync(descriptor)
-        times.append((time.monotonic() - begun) * 1e3)
+        times.append((time.monotonic() - started) * 1e3)
     os.close(descriptor)
-    cuts = statistics.quantiles(times, n=100)
-    return cuts[49], cuts[98]
+    percentiles = statistics.quantiles(times, n=100)
+    return percentiles[49], percentiles[98]
 
 
 def resident_mb() -> float:
-    """Return this process's resident memory."""
+    """Return the resident memory of this process in megabytes."""
     pages = int(Path("/proc/self/statm").read_text().split()[1])
     return pages * os.sysconf("SC_PAGE_SIZE") / MEGABYTE
 
 
-def fill(folder: Path, entries: int, limits: Limits) -> Group:
-    """Write a log of so many entries."""
+def write_log(folder: Path, entries: int, limits: Limits) -> Group:
+    """Write a log of `entries` entries and return its one-member group."""
     group = Group(folder, 1, limits)
     data = random.Random(1).randbytes(ENTRY_BYTES)
     for start in range(0, entries, 500):
-        group.turn([ProposeData(start, data)] * min(500, entries - start))
+        group.step_all([ProposeData(start, data)] * min(500, entries - start))
     return group
 
 
 def reopen(folder: Path, results) -> None:
-    """Open a folder in a fresh process; give the time and the memory that it took."""
+    """Open a folder in a new process; put the seconds and megabytes into `results`."""
     gc.collect()
     before = resident_mb()
-    begun = time.monotonic()
+    started = time.monotonic()
     group = Group(folder, 1, KEEP_ALL)
-    taken = time.monotonic() - begun
+    elapsed = time.monotonic() - started
     gc.collect()
-    results.put((taken, resident_mb() - before))
+    results.put((elapsed, resident_mb() - before))
     group.close()
 
 
 def measure_recovery(folder: Path) -> tuple[float, float]:
-    """Return seconds and megabytes that a fresh process takes to recover."""
+    """Return the seconds and megabytes that recovery takes in a new process."""
     context = multiprocessing.get_context("spawn")
     results = context.Queue()
     process = context.Process(target=reopen, args=(folder, results))
@@ -194,8 +194,8 @@
     return found
 
 
-class Blob:
-    """A machine whose snapshot has a given size."""
+class SizedMachine:
+    """A state machine whose snapshot has a given size in bytes."""
 
     def __init__(self, size: int) -> None:
         self.size = size
@@ -212,33 +212,35 @@
 
 def measure_snapshot(folder: Path, size: int) -> tuple[float, float]:
     """Return the seconds that writing and reading a snapshot of `size` bytes take."""
-    founders = [Member("m0", "", "")]
+    members = [Member("m0", "", "")]
 
     def opened():
         rng = random.Random(size)
-        return open_replica(str(folder), "m0", "", founders, Blob(size), rng, time.monotonic())
+        return open_replica(
+            str(folder), "m0", "", members, SizedMachine(size), rng, time.monotonic()
+        )
 
     replica = opened()
     replica.step([Tick()], time.monotonic())
-    begun = time.monotonic()
+    started = time.monotonic()
     replica.step([TakeSnapshot()], time.monotonic())
-    written = time.monotonic() - begun
+    written = time.monotonic() - started
     replica.close()
-    begun = time.monotonic()
+    started = time.monotonic()
     opened().close()
-    return written, time.monotonic() - begun
+    return written, time.monotonic() - started
 
 
 def measure_failover(folder: Path, seed: int) -> float:
-    """Return the seconds, on the members' clocks, from a leader's end to the next one's lease."""
-    founders = [Member(f"m{number}", "", "") for number in range(3)]
+    """Return the simulated seconds from the stop of a leader to the lease of the next one."""
+    members = [Member(f"m{number}", "", "") for number in range(3)]
     now = 0.0
     replica_by_id = {}
-    for founder in founders:
-        name = founder.member_id
+    for member in members:
+        name = member.member_id
         rng = random.Random(f"{seed}{name}")
         path = str(folder / name)
-        replica_by_id[name] = open_replica(path, name, "", founders, Store(), rng, now)
+        replica_by_id[name] = open_replica(path, name, "", members, Store(), rng, now)
     inbox_by_id = {name: [] for name in replica_by_id}
     lost_at = None
     while True:
@@ -260,8 +262,8 @@
 
 
 @dataclass(slots=True)
-class Idle:
-    """What members cost while nothing happens."""
+class IdleCost:
+    """Bytes a second and percent of a core that members use while idle."""
 
     members: int
     leader_bytes: float
@@ -270,20 +272,20 @@
     follower_share: float
 
 
-def measure_idle(folder: Path, count: int, seconds: int = 60) -> Idle:
-    """Feed ticks for a minute of the members' clocks, as fast as it goes."""
+def measure_idle(folder: Path, count: int, seconds: int = 60) -> IdleCost:
+    """Run ticks for some simulated seconds, without waiting."""
     group = Group(folder, count)
     now = time.monotonic()
     ids = list(group.replica_by_id)
     sent = dict.fromkeys(ids, 0)
-    spent = dict.fromkeys(ids, 0.0)
+    cpu_seconds = dict.fromkeys(ids, 0.0)
     for _ in range(int(seconds / TICK_SECONDS)):
         now += TICK_SECONDS
         for member_id in [group.leader, *ids, group.leader]:
             inbox, group.inbox_by_id[member_id] = group.inbox_by_id[member_id], []
-            begun = time.process_time()
+            started = time.process_time()
             outputs = group.replica_by_id[member_id].step([*inbox, Tick()], now)
-            spent[member_id] += time.process_time() - begun
+            cpu_seconds[member_id] += time.process_time() - started
             for output in outputs:
                 if not isinstance(output, SendTo):
                     continue
@@ -293,17 +295,17 @@
     assert group.replica_by_id[group.leader].is_leader(now)
     group.close()
     follower = next((member_id for member_id in ids if member_id != group.leader), group.leader)
-    return Idle(
+    return IdleCost(
         count,
         sent[group.leader] / seconds,
         sent[follower] / seconds,
-        100 * spent[group.leader] / seconds,
-        100 * spent[follower] / seconds,
+        100 * cpu_seconds[group.leader] / seconds,
+        100 * cpu_seconds[follower] / seconds,
     )
 
 
 @click.command()
-@click.option("--seconds", default=5.0, help="Time for each row of the first table.")
+@click.option("--seconds", default=5.0, help="Duration of each row of the first table.")
 @click.option("--folder", default="build", help="Folder on the disk to measure.")
 def main(seconds: float, folder: str) -> None:
     """Measure the replicated log and print tables."""
@@ -316,20 +318,20 @@
     """Print every table."""
     p50, p99 = measure_sync(top)
     click.echo(f"one append of {ENTRY_BYTES} bytes with a sync: p50 {p50:.2f} ms, p99 {p99:.2f} ms")
-    click.echo("\nmembers  waiting  commits/s   p50 ms   p99 ms  commits/sync")
-    for count, waiting in itertools.product((1, 3, 5), (1, 16, 256)):
-        row = measure_commits(top / f"commits-{count}-{waiting}", count, waiting, seconds)
+    click.echo("\nmembers  pending  commits/s   p50 ms   p99 ms  commits/sync")
+    for count, pending in itertools.product((1, 3, 5), (1, 16, 256)):
+        row = measure_commits(top / f"commits-{count}-{pending}", count, pending, seconds)
         click.echo(
-            f"{row.members:7}  {row.waiting:7}  {row.rate:9.0f}  {row.p50_ms:7.2f}  "
+            f"{row.members:7}  {row.pending:7}  {row.rate:9.0f}  {row.p50_ms:7.2f}  "
             f"{row.p99_ms:7.2f}  {row.commits / max(row.syncs, 1):12.1f}"
         )
     click.echo(f"\nlog entries of {ENTRY_BYTES} bytes  file MB  recovery s  memory MB")
     for entries in (1_000, 10_000, 50_000, 200_000):
         folder = top / f"log-{entries}"
-        fill(folder, entries, KEEP_ALL).close()
+        write_log(folder, entries, KEEP_ALL).close()
         size = sum(path.stat().st_size for path in folder.rglob("*.segment")) / MEGABYTE
-        taken, memory = measure_recovery(folder)
-        click.echo(f"{entries:24}  {size:7.1f}  {taken:10.3f}  {memory:9.1f}")
+        elapsed, memory = measure_recovery(folder)
+        click.echo(f"{entries:24}  {size:7.1f}  {elapsed:10.3f}  {memory:9.1f}")
     click.echo("\nmembers  leader B/s  follower B/s  leader % of a core  follower % of a core")
     for count in (1, 3, 5, 7):
         idle = measure_idle(top / f"idle-{count}", count)
@@ -338,10 +340,10 @@
             f"{idle.leader_share:18.3f}  {idle.follower_share:20.3f}"
         )
     times = [measure_failover(top / f"failover-{seed}", seed) for seed in range(200)]
-    cuts = statistics.quantiles(times, n=100)
+    percentiles = statistics.quantiles(times, n=100)
     click.echo(
         f"\nfailover of three members, messages one tick late, {len(times)} runs: "
-        f"p50 {cuts[49]:.2f} s, p99 {cuts[98]:.2f} s, longest {max(times):.2f} s"
+        f"p50 {percentiles[49]:.2f} s, p99 {percentiles[98]:.2f} s, longest {max(times):.2f} s"
     )
     click.echo("\nsnapshot MB  write s  recovery s")
     for size in (1, 8, 64):
--- a/benchmarks/path_bench.py
+++ b/benchmarks/path_bench.py
@@ -1,10 +1,10 @@
-"""Measure the whole path: added latency, calls a second, processor time and memory of each role.
+"""Measure the whole path: added latency, calls a second, processor time and memory by role.
 
 Starts the association's example deployment (three control members, three entries, two engines, two
 order desks, each a process of its own), calls it in a closed loop at several concurrencies, and
-reads processor time and resident memory of each process from the kernel's counters. The same bodies
-go straight to a backend server in the same run, so that the added latency is a difference of like
-with like. Slopes are least squares over the loads printed.
+reads processor time and resident memory of each process from the kernel's counters. The same run
+sends the same bodies directly to a backend server, so that the added latency compares equal calls.
+Slopes are least squares lines over the loads printed.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True)
 class Usage:
-    """Processor seconds and resident megabytes, at an instant or over a time."""
+    """Processor seconds and resident megabytes, at an instant or over an interval."""
 
     cpu_seconds: float = 0.0
     resident_mb: float = 0.0
@@ -51,13 +51,13 @@
 
 @dataclass(slots=True)
 class Load:
-    """What one load gave: calls a second, latencies in ms, and the use of each role."""
+    """The result of one load: duration, latencies in ms, and the usage of each role."""
 
     name: str
     seconds: float
     latencies_ms: list[float]
     refused: int
-    use_by_role: dict[str, Usage] = field(default_factory=dict)
+    usage_by_role: dict[str, Usage] = field(default_factory=dict)
 
     def rate(self) -> float:
         """Return answered calls a second."""
@@ -79,35 +79,35 @@
 
 @dataclass(slots=True)
 class System:
-    """The deployment, by what its processes do."""
+    """The processes of the deployment and their settings."""
 
     processes: list[LocalProcess]
     settings: list[dict]
     key: str = ""
 
     def pids(self, role: str) -> list[int]:
-        """Return the processes of a role; the settings file's name begins with it."""
+        """Return the process ids of a role; the names of its settings files start with the role."""
         return [p.pid for p in self.processes if Path(p.command[-1]).name.startswith(role)]
 
     def usage(self, role: str) -> list[Usage]:
-        """Return the use of each process of a role."""
+        """Return the usage of each process of a role."""
         return [read_usage(pid) for pid in self.pids(role)]
 
     def entries(self) -> list[str]:
         """Return the callers' addresses."""
-        return [one["entry"]["listen"] for one in self.settings if "entry" in one]
+        return [settings["entry"]["listen"] for settings in self.settings if "entry" in settings]
 
     def server(self, kind: str) -> str:
         """Return the address of the first backend server of a kind."""
-        for one in self.settings:
-            for sidecar in one.get("sidecars", []):
+        for settings in self.settings:
+            for sidecar in settings.get("sidecars", []):
                 if sidecar["kind"] == kind:
                     return sidecar["server"]
         raise LookupError(kind)
 
 
 def start_system() -> System:
-    """Start the deployment and give it an organisation with a key."""
+    """Start the deployment and create an organisation with a key."""
     shutil.rmtree(FOLDER, ignore_errors=True)
     FOLDER.mkdir(parents=True)
     files = load_files("association", SERVERS)
@@ -130,7 +130,7 @@
 
 
 def call_direct(http: urllib3.PoolManager, address: str, number: int) -> bool:
-    """Send a service call straight to its backend server."""
+    """Send a service call directly to its backend server."""
     response = http.request(
         "POST",
         f"http://{address}/order-desk",
@@ -179,24 +179,24 @@
 
 
 def run_load(name: str, system: System, calls: list[Callable[[], bool]], seconds: float) -> Load:
-    """Run each call over and over in a green thread of its own."""
+    """Repeat each call in a green thread of its own."""
     load = Load(name, seconds, [], 0)
     end = time.monotonic() + seconds
     before = {role: system.usage(role) for role in ROLES}
 
     def loop(call: Callable[[], bool]) -> None:
         while time.monotonic() < end:
-            begun = time.monotonic()
+            started = time.monotonic()
             if not call():
                 load.refused += 1
                 continue
-            load.latencies_ms.append((time.monotonic() - begun) * 1000)
+            load.latencies_ms.append((time.monotonic() - started) * 1000)
 
     threads = [eventlet.spawn(loop, call) for call in calls]
     for thread in threads:
         thread.wait()
     for role in ROLES:
-        load.use_by_role[role] = _difference(before[role], system.usage(role))
+        load.usage_by_role[role] = _difference(before[role], system.usage(role))
     return load
 
 
@@ -206,27 +206,27 @@
 
 
 def measure_idle(system: System, seconds: float) -> Load:
-    """Return what the processes use while nobody calls."""
+    """Return the usage of the processes without calls."""
     before = {role: system.usage(role) for role in ROLES}
     eventlet.sleep(seconds)
     load = Load("idle", seconds, [], 0)
     for role in ROLES:
-        load.use_by_role[role] = _difference(before[role], system.usage(role))
+        load.usage_by_role[role] = _difference(before[role], system.usage(role))
     return load
 
 
-def slope(points: list[tuple[float, float]]) -> tuple[float, float]:
+def fit_line(points: list[tuple[float, float]]) -> tuple[float, float]:
     """Return slope and intercept of the least squares line through the points."""
     mean_x = sum(x for x, _y in points) / len(points)
     mean_y = sum(y for _x, y in points) / len(points)
-    over = sum((x - mean_x) * (y - mean_y) for x, y in points)
-    under = sum((x - mean_x) ** 2 for x, _y in points)
-    steepness = over / under
-    return steepness, mean_y - steepness * mean_x
+    covariance = sum((x - mean_x) * (y - mean_y) for x, y in points)
+    variance = sum((x - mean_x) ** 2 for x, _y in points)
+    slope = covariance / variance
+    return slope, mean_y - slope * mean_x
 
 
 def print_latency(direct: Load, through: Load) -> None:
-    """Print latencies with one caller, straight and through the system."""
+    """Print latencies with one caller, direct and through the system."""
     click.echo("\n| one caller | p50 ms | p95 ms | p99 ms | calls |\n|---|---:|---:|---:|---:|")
     for load in (direct, through):
         cells = [f"{load.percentile(share):.2f}" for share in (0.5, 0.95, 0.99)]
@@ -236,7 +236,7 @@
 
 
 def print_loads(system: System, loads: list[Load]) -> None:
-    """Print calls a second and the use of each role for each load."""
+    """Print calls a second and the usage of each role for each load."""
     click.echo(
         "\n| load | calls/s | refused | p50 ms | p99 ms | entry % of a core | control % "
         "| sidecar % | entry MB | control MB | sidecar MB |"
@@ -244,10 +244,12 @@
     click.echo("|---|---:|---:|---:|---:|---:|---:|---:|---:|---:|---:|")
     for load in loads:
         percents = [
-            f"{100 * load.use_by_role[role].cpu_seconds / load.seconds:.1f}"
+            f"{100 * load.usage_by_role[role].cpu_seconds / load.seconds:.1f}"
             for role in ("entry", "control", "sidecar")
         ]
-        memory = [f"{load.use_by_role[r].resident_mb:.1f}" for r in ("entry", "control", "sidecar")]
+        memory = [
+            f"{load.usage_by_role[r].resident_mb:.1f}" for r in ("entry", "control", "sidecar")
+        ]
         click.echo(
             f"| {load.name} | {load.rate():.0f} | {load.refused} | {load.percentile(0.5):.1f} | "
             f"{load.percentile(0.99):.1f} | {' | '.join(percents)} | {' | '.join(memory)} |"
@@ -257,18 +259,19 @@
 
 
 def print_slopes(loads: list[Load]) -> None:
-    """Print the processor time of each role for one call."""
-    click.echo("\n| role | ms of a core a call | % of a core at none |\n|---|---:|---:|")
+    """Print the processor time of each role for each call."""
+    click.echo("\n| role | ms of a core a call | % of a core without calls |\n|---|---:|---:|")
     for role in ROLES:
         points = [
-            (load.rate(), 100 * load.use_by_role[role].cpu_seconds / load.seconds) for load in loads
+            (load.rate(), 100 * load.usage_by_role[role].cpu_seconds / load.seconds)
+            for load in loads
         ]
-        steepness, start = slope(points)
-        click.echo(f"| {role} | {steepness * 10:.2f} | {start:.1f} |")
+        slope, intercept = fit_line(points)
+        click.echo(f"| {role} | {slope * 10:.2f} | {intercept:.1f} |")
 
 
 @click.command()
-@click.option("--seconds", default=6.0, show_default=True, help="time of each load")
+@click.option("--seconds", default=6.0, show_default=True, help="duration of each load")
 @click.option("--callers", "concurrencies", multiple=True, type=int, default=[3, 12, 48])
 def main(seconds: float, concurrencies: tuple[int, ...]) -> None:
     """Measure and print the tables."""
@@ -278,8 +281,8 @@
         http = urllib3.PoolManager(retries=False, timeout=30.0)
         server, entries = system.server("service"), system.entries()
         numbers = iter(range(10**9))
-        straight = [lambda: call_direct(http, server, next(numbers))]
-        direct = run_load("straight to the server", system, straight, seconds)
+        direct_calls = [lambda: call_direct(http, server, next(numbers))]
+        direct = run_load("direct to the server", system, direct_calls, seconds)
         one = run_load("through the system", system, [Caller(entries[0], system.key).call], seconds)
         one_entry = [Caller(entries[0], system.key).call for _ in range(max(concurrencies))]
         loads = [idle]
--- a/benchmarks/relay_bench.py
+++ b/benchmarks/relay_bench.py
@@ -1,7 +1,8 @@
-"""What a call costs on its way through the relay, against the same call sent to the server.
+"""Measure the latency and processor time that the relay adds to a call, against a direct call.
 
-Both take turns in one run on loopback: `relay_bench.py [CALLS]`. Prints the added p50 and p99 and
-the processor time of this process, relay and clients and server together, a call and an event.
+Relayed and direct calls alternate in one run on loopback: `relay_bench.py [CALLS]`. Prints the
+added p50 and p99, and the added processor time a call of this process, which holds relay, clients
+and server.
 """
 
 from __future__ import annotations
@@ -27,12 +28,12 @@
 
 CALLS = 2_000
 EVENTS = 17
-BODY = b"x" * 600
-TALK = b"y" * 5_000
+PLAIN_BODY = b"x" * 600
+STREAM_BODY = b"y" * 5_000
 
 
 def serve(_backend, arrived) -> None:
-    """Answer a plain call whole and a turn with a stream."""
+    """Answer a `/talk/` request with a stream of events, any other with one body."""
     if b" /talk/" in arrived.head:
         events = (event(number, "w" * 40) for number in range(1, EVENTS + 1))
         arrived.connection.sendall(stream(arrived, *events))
@@ -41,15 +42,15 @@
 
 
 def connect(address: str):
-    """Return a connection that sends small writes at once."""
+    """Return a connection with TCP_NODELAY set."""
     host, _, port = address.rpartition(":")
     connection = socket.create_connection((host, int(port)))
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return connection
 
 
-def one(connection, data: bytes, end: bytes) -> float:
-    """Send a request and return the milliseconds until its answer's end has arrived."""
+def timed_request_ms(connection, data: bytes, end: bytes) -> float:
+    """Send a request and return the milliseconds until the end of its answer arrives."""
     started = time.perf_counter()
     connection.sendall(data)
     received = b""
@@ -59,24 +60,22 @@
 
 
 def percentile(values: list[float], share: float) -> float:
-    """Return the value that this share lies below."""
+    """Return the value below which this share of the values lies."""
     return sorted(values)[int(len(values) * share)]
 
 
 def measure(relay: Relay, path: str, body: bytes, end: bytes, calls: int) -> None:
-    """Send calls straight and through the relay by turns and print the difference."""
-    straight, through = connect(relay.backends[0].address), connect(relay.address)
-    straight_ms, through_ms, cpu_s = [], [], [0.0, 0.0]
+    """Send direct and relayed calls alternately and print the difference."""
+    direct, relayed = connect(relay.backends[0].address), connect(relay.address)
+    direct_ms, relayed_ms, cpu_s = [], [], [0.0, 0.0]
     for number in range(calls):
         data = request(path, f"a-{number}", body, close=False)
-        for index, (connection, times) in enumerate(
-            ((straight, straight_ms), (through, through_ms))
-        ):
+        for index, (connection, times) in enumerate(((direct, direct_ms), (relayed, relayed_ms))):
             before = time.process_time()
-            times.append(one(connection, data, end))
+            times.append(timed_request_ms(connection, data, end))
             cpu_s[index] += time.process_time() - before
     for name, share in (("p50", 0.5), ("p99", 0.99)):
-        added = percentile(through_ms, share) - percentile(straight_ms, share)
+        added = percentile(relayed_ms, share) - percentile(direct_ms, share)
         print(f"{path} {name}: {added:.2f} ms added")
     print(f"{path} processor: {(cpu_s[1] - cpu_s[0]) / calls * 1000:.2f} ms a call added")
 
@@ -87,8 +86,8 @@
     calls = int(sys.argv[1]) if len(sys.argv) > 1 else CALLS
     relay = Relay()
     relay.backend(serve)
-    measure(relay, "/buy/", BODY, b"z" * 800, calls)
-    measure(relay, "/talk/", TALK, b"0\r\n\r\n", calls)
+    measure(relay, "/buy/", PLAIN_BODY, b"z" * 800, calls)
+    measure(relay, "/talk/", STREAM_BODY, b"0\r\n\r\n", calls)
     relay.stop()
 
 
--- a/benchmarks/sidecar_bench.py
+++ b/benchmarks/sidecar_bench.py
@@ -1,7 +1,7 @@
-"""What one sidecar costs its node: resident memory, processor time and bytes, idle and under load.
+"""Measure one sidecar: resident memory, processor time and link bytes, idle and under load.
 
-Runs a sidecar as a daemon of its own beside a fake engine. This process stands for the rest: a
-control member, and an entry that dispatches straight over the link. Prints one row for each load.
+Runs a sidecar daemon beside a fake engine. This process acts as the rest of the system: a control
+member, and an entry that dispatches directly over the link. Prints one row for each load.
 """
 
 from __future__ import annotations
@@ -39,17 +39,17 @@
 from tarragonhall_wire import ControlClient, make_context, make_metrics, set_up_logs  # noqa: E402
 
 SECRET = "0123456789abcdef" * 4
-TICKS = os.sysconf("SC_CLK_TCK")
+TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 SETTLE_SECONDS = 3.0
-# 5,000,000 tokens a second over 13,000 calls a second.
+# 5,000,000 tokens a second divided by 13,000 calls a second.
 TOKENS_PER_CALL = 385
-# 42 ms between tokens: the engine's step at any batch, as far as a fake can keep it.
+# 42 ms between tokens at any batch size, as closely as the fake engine keeps it.
 STEP_MS = 42.0
 
 
 @dataclass(slots=True)
 class Sample:
-    """Counters of the sidecar process at one instant."""
+    """Counters of the sidecar process at a time."""
 
     at: float
     cpu_seconds: float
@@ -65,12 +65,12 @@
         self.control_address = free_address()
         self.sidecar_address = free_address()
         self.engine_address = free_address()
-        self.waiting: dict[str, eventlet.event.Event] = {}
+        self.done_by_attempt: dict[str, eventlet.event.Event] = {}
         self.chunks = 0
         self.incarnation = ""
 
     def start(self, slots: int) -> None:
-        """Start control and entry here, and engine and sidecar as processes."""
+        """Start control and entry in this process, and engine and sidecar as processes."""
         set_up_logs("bench", "error")
         metrics = make_metrics(None, 0, "bench")
         self.context = make_context(
@@ -108,18 +108,18 @@
         links = [x for x in self.context.hub.links() if x.peer.instance == "beside"]
         return Sample(
             at=time.monotonic(),
-            cpu_seconds=(int(fields[11]) + int(fields[12])) / TICKS,
+            cpu_seconds=(int(fields[11]) + int(fields[12])) / TICKS_PER_SECOND,
             resident_mb=int(resident.split()[1]) / 1024,
             link_bytes=sum(link.sent_bytes + link.received_bytes for link in links),
         )
 
     def client(self, name: str) -> None:
-        """Dispatch calls of one program, one after another, for good."""
+        """Dispatch calls of one program, one after another, without end."""
         seq = 0
         while True:
             seq += 1
             attempt = AttemptId(f"prog-{name:0>24}", seq, 1, "engine-1", self.incarnation)
-            done = self.waiting[attempt.key] = eventlet.event.Event()
+            done = self.done_by_attempt[attempt.key] = eventlet.event.Event()
             body = f"question {seq} of {name} [tokens={TOKENS_PER_CALL}]"
             spec = CallSpec(seq, CallKind.MODEL, "m", body, max_tokens=TOKENS_PER_CALL, stream=True)
             self.link.request(Dispatch(attempt, "org", spec, [], 1, 120_000), 5)
@@ -130,7 +130,7 @@
         self.chunks += 1
 
     def _on_ended(self, _link, ended: AttemptEnded) -> None:
-        waiter = self.waiting.pop(ended.attempt.key, None)
+        waiter = self.done_by_attempt.pop(ended.attempt.key, None)
         if waiter is not None:
             waiter.send(ended)
 
@@ -160,23 +160,25 @@
 
 
 def measure(bench: Bench, clients: int, seconds: float) -> str:
-    """Run a load for a while and return its row."""
+    """Run a load for `seconds` and return its table row."""
     running = [eventlet.spawn(bench.client, f"{clients}-{index}") for index in range(clients)]
     eventlet.sleep(SETTLE_SECONDS)
     chunks, before = bench.chunks, bench.sample()
     eventlet.sleep(seconds)
     after = bench.sample()
-    span = after.at - before.at
-    cpu = 100 * (after.cpu_seconds - before.cpu_seconds) / span
-    rate = (after.link_bytes - before.link_bytes) / span / 1000
-    parts = (bench.chunks - chunks) / span
-    for green in running:
-        green.kill()
-    return f"{clients:>7} | {parts:>8.0f} | {cpu:>6.2f} | {after.resident_mb:>6.1f} | {rate:>7.2f}"
+    elapsed = after.at - before.at
+    cpu = 100 * (after.cpu_seconds - before.cpu_seconds) / elapsed
+    kb_s = (after.link_bytes - before.link_bytes) / elapsed / 1000
+    chunks_s = (bench.chunks - chunks) / elapsed
+    for thread in running:
+        thread.kill()
+    return (
+        f"{clients:>7} | {chunks_s:>8.0f} | {cpu:>6.2f} | {after.resident_mb:>6.1f} | {kb_s:>7.2f}"
+    )
 
 
 @click.command()
-@click.option("--seconds", default=10.0, show_default=True, help="length of each measurement")
+@click.option("--seconds", default=10.0, show_default=True, help="duration of each measurement")
 @click.option("--streams", default="0,8,57", show_default=True, help="loads, comma-separated")
 def main(seconds: float, streams: str) -> None:
     """Measure one sidecar."""
--- a/benchmarks/state_bench.py
+++ b/benchmarks/state_bench.py
@@ -1,18 +1,18 @@
-"""Measure the state machine and the distribution of settings; prints one line for each figure.
+"""Measure the state machine and the distribution of settings; print one line for each figure.
 
     state_bench.py apply                commands applied a second, by kind
     state_bench.py snapshot             snapshot and restore: time, size and memory by programs
-    state_bench.py distribute           accepted change to in force, at 1, 10 and 50 followers
+    state_bench.py distribute           time until a change is in force, at 1, 10 and 50 followers
 
-Followers run in one child process, each with links of its own, so that the member's processor time
-and memory are its own. The change and its arrival are timed on the same monotonic clock.
+Followers run in one child process, each with links of its own, so that this process's time and
+memory are those of the member. Changes and arrivals are timed on the same monotonic clock.
 """
 
 from __future__ import annotations
 
 import warnings
 
-# Known and weighed in the docs; here it would hide the figures.
+# The docs discuss this deprecation; the warning would hide the figures.
 warnings.filterwarnings("ignore", message="\\s*Eventlet is deprecated")
 
 import eventlet  # noqa: E402
@@ -60,17 +60,17 @@
 PROGRAM_COUNTS = (1_000, 5_000, 20_000)
 CALLS_PER_PROGRAM = 5
 TEXT = "x" * 1_000
-CHANGED_BETWEEN = 1_000
+PROGRAMS_BETWEEN_SNAPSHOTS = 1_000
 CHANGES = 60
-CHANGE_SECONDS = 0.05
-# The views of the last announcements are still on their way.
+CHANGE_INTERVAL_SECONDS = 0.05
+# The views with the last announced followers are still in flight.
 SETTLE_SECONDS = 2.0
 IDLE_SECONDS = 10.0
 BUDGET = Budget(1_000_000, 1_000, 3_600)
 
 
 class Applier:
-    """Commits commands to a bare state machine."""
+    """Applies commands to a state machine without a replicated log."""
 
     def __init__(self) -> None:
         self.state = ControlState()
@@ -104,7 +104,7 @@
 
 
 def bench_apply() -> None:
-    """Time commands by kind, each encoded and applied as a member does."""
+    """Time commands by kind, each encoded and applied as on a member."""
     applier = Applier()
     programs = 1_000
     started = time.perf_counter()
@@ -127,7 +127,7 @@
 
 
 def bench_snapshot() -> None:
-    """Time snapshots against the number of programs, each count in a process of its own."""
+    """Time snapshots by number of programs, each count in a process of its own."""
     points = []
     for programs in PROGRAM_COUNTS:
         figures = in_own_process("snapshot-of", programs)
@@ -146,12 +146,12 @@
     started = time.perf_counter()
     applier.state.snapshot()
     first = time.perf_counter() - started
-    for number in range(CHANGED_BETWEEN):
+    for number in range(PROGRAMS_BETWEEN_SNAPSHOTS):
         applier.run_program(programs + number, 1)
     held_mb = memory_mb() - base_mb
     started = time.perf_counter()
     data = applier.state.snapshot()
-    again = time.perf_counter() - started
+    second = time.perf_counter() - started
     del applier
     started = time.perf_counter()
     ControlState().restore(data)
@@ -159,7 +159,7 @@
     return {
         "programs": programs,
         "first_snapshot_s": round(first, 3),
-        "next_snapshot_s": round(again, 3),
+        "next_snapshot_s": round(second, 3),
         "restore_s": round(restored, 3),
         "size_mb": round(len(data) / 1e6, 1),
         "memory_mb": round(held_mb, 1),
@@ -167,7 +167,7 @@
 
 
 def in_own_process(part: str, count: int) -> dict:
-    """Run one part in a new process, so that its memory is its own, and return its figures."""
+    """Run one part in a new process, so that memory is measured separately; return its figures."""
     command = [sys.executable, __file__, part, str(count)]
     return json.loads(subprocess.run(command, check=True, stdout=subprocess.PIPE).stdout)
 
@@ -179,7 +179,7 @@
 
 
 def bench_distribute() -> None:
-    """Time changes from their acceptance to the last follower that has them in force."""
+    """Time changes from acceptance until the last follower has applied them."""
     points = []
     for followers in FOLLOWER_COUNTS:
         figures = in_own_process("distribute-to", followers)
@@ -190,12 +190,12 @@
 
 
 def distribute_to(followers: int) -> dict:
-    """Run one member and a child with so many followers."""
+    """Run one member and a child process with `followers` followers; return the figures."""
     with tempfile.TemporaryDirectory() as folder:
         link, admin = free_address(), free_address()
-        given = {"data_folder": folder, "admin": admin, "members": {"one": link}}
+        settings = {"data_folder": folder, "admin": admin, "members": {"one": link}}
         context = make_context("one", "tx-waco", link, [], SECRET, make_metrics(None, 0, "one"))
-        role = start_control(OPTIONS.load(given)[0], context)
+        role = start_control(OPTIONS.load(settings)[0], context)
         member = role.member
         wait_until(member.is_leader)
         member.commit(CreateOrganisation("school", "/texas/school", {}, "ana"))
@@ -218,7 +218,7 @@
             role.stop()
             context.hub.stop()
     last_at = {int(revision): at for revision, at in json.loads(arrivals).items()}
-    delays_ms = sorted((last_at[one] - at) * 1e3 for one, at in accepted_at.items())
+    delays_ms = sorted((last_at[changed] - at) * 1e3 for changed, at in accepted_at.items())
     return {
         "followers": followers,
         "changes": len(delays_ms),
@@ -230,7 +230,7 @@
 
 
 def idle_figures(context, followers: int) -> dict:
-    """Return bytes a second of a follower's link and the member's processor share when idle."""
+    """Return bytes a second of each follower's link and the member's idle processor share."""
     links = [link for link in context.hub.accepted if link.peer.instance.startswith("entry")]
     sent = sum(link.sent_bytes for link in links)
     received = sum(link.received_bytes for link in links)
@@ -246,18 +246,18 @@
 
 
 def make_changes(member) -> dict[int, float]:
-    """Change a setting again and again; return when each revision was accepted."""
+    """Change a setting repeatedly; return when each revision was accepted."""
     accepted_at = {}
     for number in range(CHANGES):
         change = ChangeSettings("/texas", {"weight": 1 + number}, [], "ana", member.state.revision)
         result = member.commit(change)
         accepted_at[result.revision] = time.monotonic()
-        eventlet.sleep(CHANGE_SECONDS)
+        eventlet.sleep(CHANGE_INTERVAL_SECONDS)
     return accepted_at
 
 
 class TimedFollower(Follower):
-    """Notes when each revision came into force."""
+    """Records when each revision was applied."""
 
     __slots__ = ("at_by_revision",)
 
@@ -266,14 +266,14 @@
         self.at_by_revision: dict[int, float] = {}
 
     def apply_policy(self, delta) -> bool:
-        taken = super().apply_policy(delta)
-        if taken:
+        applied = super().apply_policy(delta)
+        if applied:
             self.at_by_revision[self.settings_revision] = time.monotonic()
-        return taken
+        return applied
 
 
 def run_followers(address: str, count: int) -> None:
-    """Be the child: follow until standard input closes, then print the last arrival of each."""
+    """Follow until standard input closes, then print the last arrival of each revision."""
     followers = []
     for number in range(count):
         name = f"entry-{number}"
@@ -292,14 +292,14 @@
 
 
 def wait_until(condition) -> None:
-    """Wait for a condition."""
+    """Wait until the condition holds."""
     with eventlet.Timeout(30):
         while not condition():
             eventlet.sleep(0.01)
 
 
 def main() -> None:
-    """Run the parts that are named, or all."""
+    """Run the parts named on the command line, or all."""
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(50))
     if sys.argv[1:2] == ["followers"]:
         run_followers(sys.argv[2], int(sys.argv[3]))
--- a/tools/check_imports.py
+++ b/tools/check_imports.py
@@ -27,10 +27,10 @@
     "fakes": {"model"},
 }
 
-# Headers, settings and calls of the users' platform, one a line; they stand in its folder too.
+# Headers, settings and calls of the users' platform, one per line.
 PLATFORM_NAMES = (ROOT / "platform" / "names.txt").read_text().split()
 
-# Decision logic stays replayable from a seed only while it cannot reach a socket or a clock.
+# Decision logic can be replayed from a seed only if it reaches neither a socket nor a clock.
 SANS_IO_LIBRARIES = {"model", "decisions", "consensus", "state"}
 IO_MODULES = {"eventlet", "socket", "time", "websockets", "urllib3", "threading"}
 
@@ -47,13 +47,13 @@
 
 
 def check_file(library: str, path: Path) -> list[str]:
-    """Return one finding for each import in the file that the table forbids."""
+    """Return one finding for each import that ALLOWED_BY_LIBRARY forbids."""
     findings = []
     for line, module in imported_modules(ast.parse(path.read_text())):
         top, _, rest = module.partition(".")
-        place = f"{path.relative_to(ROOT)}:{line}"
+        location = f"{path.relative_to(ROOT)}:{line}"
         if top in IO_MODULES and library in SANS_IO_LIBRARIES:
-            findings.append(f"{place}: {library} must not import {top}")
+            findings.append(f"{location}: {library} must not import {top}")
         if not top.startswith(PREFIX):
             continue
         other = top.removeprefix(PREFIX)
@@ -62,17 +62,17 @@
                 continue
             continue
         if other not in ALLOWED_BY_LIBRARY[library]:
-            findings.append(f"{place}: {library} must not import {other}")
+            findings.append(f"{location}: {library} must not import {other}")
         if rest.startswith("_"):
-            findings.append(f"{place}: {module} is private to {other}")
+            findings.append(f"{location}: {module} is private to {other}")
     return findings
 
 
 def check_platform_names() -> list[str]:
-    """Return one finding for each place outside `platform/` that knows the platform's wire.
+    """Return one finding for each line outside `platform/` that uses a name of the platform.
 
-    What translates stands in one folder: a name of the wire elsewhere is a decision that depends on
-    one platform.
+    Translation to the platform belongs in that folder: its names elsewhere tie the code to one
+    platform.
     """
     findings = []
     for path in sorted(ROOT.glob("libs/**/*.py")) + sorted(ROOT.glob("tools/*.py")):
@@ -81,8 +81,8 @@
         for number, line in enumerate(path.read_text().splitlines(), start=1):
             for name in PLATFORM_NAMES:
                 if name.lower() in line.lower():
-                    place = f"{path.relative_to(ROOT)}:{number}"
-                    findings.append(f"{place}: {name} is known to platform/ alone")
+                    location = f"{path.relative_to(ROOT)}:{number}"
+                    findings.append(f"{location}: {name} may only be used in platform/")
     return findings
 
 
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -1,9 +1,9 @@
-"""Run a few programs through a whole deployment on this machine, and show what became of them.
+"""Run a few programs through a whole deployment on this machine and print their results.
 
 Starts the daemon on `examples/one-instance.json` with a fake model engine and a fake plain service,
 sets up an organisation, a key, a model and a budget with the operators' tool, and runs programs of
-several dependent calls. Ends with 0 only if every program finished in order and within budget, and
-every billing call took effect exactly once.
+several dependent calls. Exits with 0 only if every program finished in order and within budget, and
+every service call took effect exactly once.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Step:
-    """One call of a demo program; `{previous}` in the body is the answer before."""
+    """One call of a demo program; `{previous}` in the body stands for the previous answer."""
 
     kind: str
     target: str
@@ -47,21 +47,23 @@
 
 @dataclass(slots=True, frozen=True)
 class DemoProgram:
-    """A named chain of dependent calls."""
+    """A named sequence of dependent calls."""
 
     name: str
     steps: list[Step]
 
 
 PLANNER = "planner-8b"
-DESK = "order-desk"
+ORDER_DESK = "order-desk"
 
 PROGRAMS = [
     DemoProgram(
         "route planner",
         [
             Step("model", PLANNER, "Draft the drop run for north Austin at 06:30"),
-            Step("service", DESK, '{"action": "reserve-van", "run": "north"}', repeatable=False),
+            Step(
+                "service", ORDER_DESK, '{"action": "reserve-van", "run": "north"}', repeatable=False
+            ),
             Step("model", PLANNER, "Order the stops, given: {previous}"),
         ],
     ),
@@ -76,8 +78,8 @@
         "order desk",
         [
             Step("model", PLANNER, "Read the order of school 14: 220 trays"),
-            Step("service", DESK, '{"action": "confirm", "school": 14}', repeatable=False),
-            Step("service", DESK, '{"action": "bill", "district": 7}', repeatable=False),
+            Step("service", ORDER_DESK, '{"action": "confirm", "school": 14}', repeatable=False),
+            Step("service", ORDER_DESK, '{"action": "bill", "district": 7}', repeatable=False),
             Step("model", PLANNER, "Write the confirmation, given: {previous}"),
         ],
     ),
@@ -92,7 +94,7 @@
 
 
 class Caller:
-    """A caller of the deployment, with its key."""
+    """A caller with a key."""
 
     __slots__ = ("_headers", "_http")
 
@@ -122,7 +124,7 @@
 
 
 def wait_for_operator(token: str) -> None:
-    """Wait until the first operator is known; entries can be ready a moment before."""
+    """Wait until the first operator can log in; entries can be ready slightly earlier."""
     deadline = time.monotonic() + OPERATOR_SECONDS
     while True:
         try:
@@ -177,30 +179,30 @@
 
 
 def check_program(caller: Caller, program_id: str, program: DemoProgram) -> list[str]:
-    """Return what is wrong with a finished program; nothing if all is well."""
+    """Return the errors found in the report of a program."""
     report = caller.get(f"/v1/programs/{program_id}")
     spent = report["spent"]
     click.echo(
         f"{program.name}: {report['status']}, spent {spent['tokens']} of "
         f"{report['budget']['tokens']} tokens, {spent['calls']} calls"
     )
-    wrong = []
+    errors = []
     if report["status"] != "finished":
-        wrong.append(f"{program.name} did not finish")
+        errors.append(f"{program.name} did not finish")
     if [call["seq"] for call in report["calls"]] != list(range(1, len(program.steps) + 1)):
-        wrong.append(f"{program.name} did not run in order")
+        errors.append(f"{program.name} did not run in order")
     if spent["tokens"] > report["budget"]["tokens"] or spent["calls"] > report["budget"]["calls"]:
-        wrong.append(f"{program.name} exceeded its budget")
-    return wrong
+        errors.append(f"{program.name} exceeded its budget")
+    return errors
 
 
 def check_ledger() -> list[str]:
-    """Return what is wrong with the effects that the service recorded."""
+    """Return the errors found in the effects that the service recorded."""
     ledger = urllib3.request("GET", f"http://{SERVICE}/ledger").json()
     effects = [entry["body"] for entry in ledger["effects"]]
-    due = [step.body for p in PROGRAMS for step in p.steps if step.kind == "service"]
-    click.echo(f"service effects: {len(effects)} of {len(due)} due")
-    return [] if sorted(effects) == sorted(due) else ["an effect is missing or doubled"]
+    expected = [step.body for p in PROGRAMS for step in p.steps if step.kind == "service"]
+    click.echo(f"service effects: {len(effects)} of {len(expected)} expected")
+    return [] if sorted(effects) == sorted(expected) else ["an effect is missing or duplicated"]
 
 
 def start_all() -> list[LocalProcess]:
@@ -236,10 +238,10 @@
         caller = Caller(set_up(token))
         ids = [run_program(caller, program) for program in PROGRAMS]
         click.echo("")
-        wrong = []
+        errors = []
         for program_id, program in zip(ids, PROGRAMS, strict=True):
-            wrong += check_program(caller, program_id, program)
-        wrong += check_ledger()
+            errors += check_program(caller, program_id, program)
+        errors += check_ledger()
         click.echo("\ntime line of the order desk")
         click.echo(
             run_script(
@@ -248,10 +250,10 @@
         )
     finally:
         stop_all(processes)
-    for line in wrong:
+    for line in errors:
         click.echo(f"WRONG: {line}", err=True)
-    click.echo("the demo failed" if wrong else "every program finished in order, within budget")
-    return 1 if wrong else 0
+    click.echo("the demo failed" if errors else "every program finished in order, within budget")
+    return 1 if errors else 0
 
 
 if __name__ == "__main__":
--- a/tools/log_events.py
+++ b/tools/log_events.py
@@ -1,6 +1,6 @@
-"""Lists every log event of the code with its fields, for the page that operators read.
+"""List every log event of the code with its fields, for the operators' documentation.
 
-`log_events.py` prints the table; a test compares the page with it.
+`log_events.py` prints the table; a test compares the documentation page with it.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 
 
 def events() -> dict[str, dict[str, set[str]]]:
-    """Return the levels, fields and libraries of each event by its name."""
+    """Return the levels, fields and source libraries of each event, by event name."""
     found: dict[str, dict[str, set[str]]] = {}
     for pattern in SOURCES:
         for path in sorted(ROOT.glob(pattern)):
             for node in ast.walk(ast.parse(path.read_text())):
-                _note(node, path, found)
+                _add_event(node, path, found)
     return found
 
 
 def table() -> str:
-    """Return the events as rows of a table."""
+    """Return the events as a Markdown table."""
     rows = ["| event | level | from | fields |", "|---|---|---|---|"]
     for name, parts in sorted(events().items()):
         level = ", ".join(sorted(parts["levels"]))
@@ -34,11 +34,11 @@
     return "\n".join(rows)
 
 
-def _note(node: ast.AST, path: Path, found: dict[str, dict[str, set[str]]]) -> None:
+def _add_event(node: ast.AST, path: Path, found: dict[str, dict[str, set[str]]]) -> None:
     if not isinstance(node, ast.Call) or not isinstance(node.func, ast.Attribute):
         return
-    owner = node.func.value
-    if not isinstance(owner, ast.Name) or owner.id != "log" or node.func.attr not in LEVELS:
+    logger = node.func.value
+    if not isinstance(logger, ast.Name) or logger.id != "log" or node.func.attr not in LEVELS:
         return
     if not node.args or not isinstance(node.args[0], ast.Constant):
         return
--- a/tools/make_examples.py
+++ b/tools/make_examples.py
@@ -1,6 +1,6 @@
 """Write the settings files of both deployments, one for each instance, under `examples/`.
 
-Each instance has a loopback number of its own, so that the files read as they would on many
+Each instance has a loopback address of its own, so that the files look as they would for separate
 machines. The files are committed; run this again after a change here.
 """
 
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Servers:
-    """A group of like backend servers."""
+    """A group of identical backend servers."""
 
     name: str
     kind: str
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Shape:
-    """One deployment: its zones and what runs in them. `network` is the second loopback number."""
+    """One deployment: its zones and servers; `network` is the second byte of its addresses."""
 
     name: str
     region: str
@@ -70,7 +70,7 @@
 
 
 def common(shape: Shape, instance: str, zone: int, host: int) -> dict:
-    """Return the settings that every instance has."""
+    """Return the settings that all instances share."""
     controls = range(CONTROL_HOST, CONTROL_HOST + len(shape.zones))
     return {
         "instance": instance,
@@ -109,7 +109,7 @@
 
 
 def sidecar_settings(shape: Shape, servers: Servers, number: int, host: int) -> dict:
-    """Return the settings of the process beside one backend server."""
+    """Return the settings of the sidecar of one backend server."""
     zone = number % len(shape.zones)
     server_id = f"{servers.name}-{number + 1}"
     sidecar = {
--- a/tools/measure.py
+++ b/tools/measure.py
@@ -1,8 +1,8 @@
-"""Measure both workloads calm, in overload and with faults, on a small system on loopback.
+"""Measure both workloads in the modes calm, overload and faults, on loopback.
 
 Starts one control instance, two entries, three fake engines and a fake service with a sidecar each,
-runs `tarragonhall-load`'s workloads against them, and prints a table. `--baseline` adds the same
-programs sent straight to the engines, round robin.
+runs the workloads of `tarragonhall-load` against them, and prints a table. `--baseline` adds the
+same programs sent directly to the engines, round robin.
 """
 
 from __future__ import annotations
@@ -39,41 +39,41 @@
 MODEL = "planner-8b"
 SERVICE = "order-desk"
 ENGINES = 3
-# About 180 tokens a second for each engine: the engines are the bottleneck, not this machine.
+# About 180 tokens a second for each engine, so that engines and not this machine are the limit.
 ENGINE_OPTIONS = ["--step-ms", "20", "--max-batch", "4", "--cache-tokens", "6000"]
 SLOTS = 4
 RATE = (15.0, 30.0)
 ZONES = {"association": ("tx-austin", "tx-waco"), "agency": ("zona-a", "zona-b")}
-# Programs a second: about half of what the engines can do, and a hot tenant on top of it.
-CALM = {"association": 3.0, "agency": 1.2}
+# About half of what the engines can serve; overload multiplies the largest organisation.
+PROGRAMS_PER_SECOND = {"association": 3.0, "agency": 1.2}
 HOT_FACTOR = 10.0
-# The owners of the rates wait until the first entry, which was alone, must have stopped granting.
+# New owners of token buckets wait until the first entry, which owned them all, stops granting.
 SETTLE_S = 3.0
 
 
 @dataclass(slots=True)
 class System:
-    """The processes of one run."""
+    """The processes of one run and their addresses."""
 
     folder: Path
     zones: tuple[str, str]
     token: str = ""
-    ports: dict[str, str] = field(default_factory=dict)
+    address_by_name: dict[str, str] = field(default_factory=dict)
     process_by_name: dict[str, LocalProcess] = field(default_factory=dict)
 
-    def port(self, name: str) -> str:
-        """Return a free loopback address under a name."""
-        if name not in self.ports:
-            self.ports[name] = free_address()
-        return self.ports[name]
+    def address(self, name: str) -> str:
+        """Return the loopback address of that name, choosing a free one at first."""
+        if name not in self.address_by_name:
+            self.address_by_name[name] = free_address()
+        return self.address_by_name[name]
 
     def start(self, name: str) -> LocalProcess:
-        """Start (again) the process of that name."""
+        """Start or restart the process of that name."""
         if name.startswith("engine"):
-            command = [script("tarragonhall-fake-engine"), "--listen", self.port(name)]
+            command = [script("tarragonhall-fake-engine"), "--listen", self.address(name)]
             command += ENGINE_OPTIONS
         elif name == "service":
-            command = [script("tarragonhall-fake-service"), "--listen", self.port(name)]
+            command = [script("tarragonhall-fake-service"), "--listen", self.address(name)]
             command += ["--call-ms", "10"]
         else:
             command = [script("tarragonhalld"), "--settings", str(self.folder / f"{name}.json")]
@@ -88,13 +88,13 @@
             "control",
             control={
                 "data_folder": str(self.folder / "data"),
-                "admin": self.port("admin"),
-                "members": {"control": self.port("control")},
+                "admin": self.address("admin"),
+                "members": {"control": self.address("control")},
             },
         )
         for number in range(2):
             name = f"entry-{number}"
-            self._write(name, zone=number, entry={"listen": self.port(f"{name}-http")})
+            self._write(name, zone=number, entry={"listen": self.address(f"{name}-http")})
         for number in range(ENGINES):
             self._write_sidecar(f"engine-{number}", "model", MODEL, SLOTS, zone=number % 2)
         self._write_sidecar("service", "service", SERVICE, 8, zone=0)
@@ -102,7 +102,7 @@
     def _write_sidecar(self, name: str, kind: str, serves: str, slots: int, zone: int) -> None:
         sidecar = {
             "server_id": name,
-            "server": self.port(name),
+            "server": self.address(name),
             "kind": kind,
             "serves": [serves],
             "slots": slots,
@@ -115,9 +115,9 @@
             "availability_zone": self.zones[zone],
             "region": "local",
             "link": {
-                "listen": self.port(name),
+                "listen": self.address(name),
                 "secret_file": str(self.folder / "link.secret"),
-                "controls": [self.port("control")],
+                "controls": [self.address("control")],
             },
             **roles,
         }
@@ -125,7 +125,7 @@
 
     def tool(self, token: str, *arguments: str) -> dict:
         """Run the operators' tool and return its JSON."""
-        admin = ["--admin", self.port("admin"), "--token", token, "--json"]
+        admin = ["--admin", self.address("admin"), "--token", token, "--json"]
         return json.loads(run_script("tarragonhall", *admin, *arguments))
 
     def start_all(self, org_ids: list[str]) -> Deployment:
@@ -142,7 +142,7 @@
         for name in entries:
             self.start(name)
         for name in entries:
-            self.process_by_name[name].wait_ready(f"http://{self.port(f'{name}-http')}/readyz")
+            self.process_by_name[name].wait_ready(f"http://{self.address(f'{name}-http')}/readyz")
         self.tool(token, "model", "set", MODEL, "v1")
         key_by_org = {}
         rate = [f"rate.per_second={RATE[0]}", f"rate.burst={RATE[1]}"]
@@ -151,14 +151,14 @@
             key_by_org[org_id] = self.tool(token, "key", "grant", org_id)["key"]
         eventlet.sleep(SETTLE_S)
         return Deployment(
-            [self.port(f"{name}-http") for name in entries],
-            [self.port(name) for name in engines],
-            [self.port("service")],
+            [self.address(f"{name}-http") for name in entries],
+            [self.address(name) for name in engines],
+            [self.address("service")],
             key_by_org,
         )
 
     def restart(self, name: str) -> None:
-        """Kill a process without warning and start it again."""
+        """Kill a process and start it again."""
         self.process_by_name[name].kill()
         self.start(name)
 
@@ -171,9 +171,9 @@
 
 
 def faults(system: System, seconds: float) -> list[TimedAction]:
-    """Return the faults of a run: a slow engine, then killed ones: engine, entry, sidecar."""
+    """Return the faults of a run: a slow engine, then a killed engine, entry and sidecar."""
     slow = {"kind": "slow", "times": 0, "seconds": 0.1}
-    first = system.port("engine-0")
+    first = system.address("engine-0")
     return [
         TimedAction(0.1 * seconds, lambda: post_fault(first, slow)),
         TimedAction(0.4 * seconds, lambda: clear_faults(first)),
@@ -186,7 +186,7 @@
 def measure(name: str, mode: str, seconds: float, seed: int, direct: bool) -> LoadResult:
     """Run one workload in one mode on a fresh system."""
     hot = HOT_FACTOR if mode == "overload" else 1.0
-    workload = make_workload(name, seed, seconds, CALM[name], hot)
+    workload = make_workload(name, seed, seconds, PROGRAMS_PER_SECOND[name], hot)
     folder = ROOT / ".measure" / f"{name}-{mode}"
     shutil.rmtree(folder, ignore_errors=True)
     folder.mkdir(parents=True)
@@ -207,11 +207,13 @@
 
 
 @click.command()
-@click.option("--seconds", default=25.0, show_default=True, help="time over which programs start")
+@click.option("--seconds", default=25.0, show_default=True, help="period in which programs start")
 @click.option("--seed", default=1, show_default=True)
 @click.option("--workload", "workloads", multiple=True, default=["association", "agency"])
 @click.option("--mode", "modes", multiple=True, default=["calm", "overload", "faults"])
-@click.option("--baseline/--no-baseline", default=True, help="also straight to the engines")
+@click.option(
+    "--baseline/--no-baseline", default=True, help="also run directly against the engines"
+)
 @click.option("--output", type=click.Path(path_type=Path), help="file for the results as JSON")
 def main(
     seconds: float,
@@ -221,7 +223,7 @@
     baseline: bool,
     output: Path | None,
 ) -> None:
-    """Measure and print the table."""
+    """Run the measurements and print the table."""
     results: list[LoadResult] = []
     for name in workloads:
         for mode in modes:
--- a/tools/run_deployment.py
+++ b/tools/run_deployment.py
@@ -1,4 +1,4 @@
-"""Start a small one of the example deployments on this machine, and keep it until interrupted.
+"""Start a reduced example deployment on this machine and run it until interrupted.
 
 Every instance is a process of its own: three control members, three entries, and a sidecar beside
 each of a few fake backend servers.
@@ -16,11 +16,11 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 SERVERS_HELP = "Backend servers of each kind to start."
-READY_POLL_SECONDS = 0.5
+PROCESS_POLL_SECONDS = 0.5
 
 
 def load_files(name: str, servers: int) -> list[tuple[Path, dict]]:
-    """Return the settings files to start: all but the backend servers beyond the first few."""
+    """Return the settings files to start, with the first `servers` backend servers of each kind."""
     chosen = []
     for file in sorted((ROOT / "examples" / name).glob("*.json")):
         settings = json.loads(file.read_text())
@@ -31,7 +31,7 @@
 
 
 def start_fake(settings: dict, folder: Path) -> list[LocalProcess]:
-    """Start the fake backend server of a sidecar, where the instance has one."""
+    """Start the fake backend servers of an instance's sidecars."""
     started = []
     for sidecar in settings.get("sidecars", []):
         name = "engine" if sidecar["kind"] == "model" else "service"
@@ -41,7 +41,7 @@
 
 
 def initialise(files: list[tuple[Path, dict]]) -> str:
-    """Make the secret and the first operator on one control member; return the token."""
+    """Create the secret and the first operator on one control member; return the token."""
     first = next(file for file, settings in files if "control" in settings)
     return run_script("tarragonhalld", "--settings", str(first), "--init").strip()
 
@@ -67,7 +67,7 @@
 
 
 def stop_all(started: list[LocalProcess]) -> None:
-    """Ask every process to stop, then wait for each."""
+    """Request every process to stop, then wait for each."""
     for process in started:
         process.request_stop()
     for process in started:
@@ -77,9 +77,9 @@
 @click.command()
 @click.argument("name", type=click.Choice(["association", "agency"]))
 @click.option("--servers", default=2, show_default=True, help=SERVERS_HELP)
-@click.option("--seconds", type=float, help="Stop by itself after so many seconds.")
+@click.option("--seconds", type=float, help="Stop after this many seconds.")
 def main(name: str, servers: int, seconds: float | None) -> None:
-    """Start a small deployment NAME and keep it until interrupted."""
+    """Start a reduced deployment NAME and run it until interrupted."""
     folder = ROOT / ".demo" / name
     shutil.rmtree(folder, ignore_errors=True)
     folder.mkdir(parents=True)
@@ -93,10 +93,10 @@
     end = time.monotonic() + seconds if seconds is not None else float("inf")
     try:
         while time.monotonic() < end:
-            time.sleep(READY_POLL_SECONDS)
+            time.sleep(PROCESS_POLL_SECONDS)
             for process in started:
                 if not process.running():
-                    click.echo(f"ended: {' '.join(process.command)}", err=True)
+                    click.echo(f"exited: {' '.join(process.command)}", err=True)
     except KeyboardInterrupt:
         click.echo("stopping")
     finally:
