--- a/features/backend_servers.feature
+++ b/features/backend_servers.feature
@@ -25,7 +25,7 @@
     And "confirm cellar 3" took effect 0 time
 
   Scenario: A service answers with the response to another request
-    # Passed on, the caller would take another caller's confirmation for its own.
+    # If the response were passed on, the caller would take another's confirmation for its own.
     Given a deployment with two entries
     And a program of a caller
     And the caller has been served before
--- a/libs/fakes/tarragonhall_fakes/_load_results.py
+++ b/libs/fakes/tarragonhall_fakes/_load_results.py
@@ -117,7 +117,7 @@
 
 
 def worst_served(workload: Workload, results: list[ProgramResult]) -> tuple[str, float]:
-    """Return the organisation with the lowest ratio of tokens received to its fair share, and it.
+    """Return the organisation that received the least of its fair share, and that ratio.
 
     Only programs that start in the first part of the load count, with the tokens they received
     before it ended: what is served once the load is over says nothing about fairness. The fair
