--- a/libs/cli/tarragonhall_cli/_settings.py
+++ b/libs/cli/tarragonhall_cli/_settings.py
@@ -1,4 +1,4 @@
-"""Commands on organisations, keys, models, budgets and the settings tree."""
+"""Commands on organisations, keys, models, operators and the settings tree."""
 
 from __future__ import annotations
 
@@ -40,7 +40,10 @@
     replaces: str | None,
     overlap_seconds: int,
 ) -> None:
-    """Grant a key. It is generated here: only its hash is sent, and it is shown only once."""
+    """Grant a key, generated on this machine: only its hash is sent, and it is shown only once.
+
+    With `replaces`, that earlier key expires after `overlap_seconds`, so that callers can switch.
+    """
     key = new_secret(KEY_PREFIX)
     body: dict[str, object] = {"org_id": org_id, "key_hash": secret_hash(key)}
     if hours is not None:
@@ -48,6 +51,7 @@
     if replaces is not None:
         body |= {"replaces": replaces, "overlap_seconds": overlap_seconds}
     answer = client.post("keys", body)
+    # The key shown is the one whose hash was sent, whatever `key` the answer holds.
     out.fields({"key": key} | {name: v for name, v in answer.items() if name != "key"})
 
 
@@ -58,7 +62,7 @@
 
 
 def withdraw_key(client: AdminClient, out: Output, key_id: str) -> None:
-    """Withdraw a key."""
+    """Withdraw a key; entries reject it once they have received the change."""
     out.fields(client.delete(f"keys/{path_segment(key_id)}"))
 
 
@@ -71,7 +75,11 @@
     expected_revision: int | None,
     dry_run: bool,
 ) -> None:
-    """Change the settings at a path; `expected_revision` defaults to the current one."""
+    """Change the settings at a path, unless another change came after `expected_revision`.
+
+    It defaults to the revision read here, and then guards only against changes made during this
+    command.
+    """
     if expected_revision is None:
         expected_revision = client.get("settings", path=path)["revision"]
     body = {
@@ -114,7 +122,10 @@
 def rollback(
     client: AdminClient, out: Output, path: str, to_revision: int, expected_revision: int | None
 ) -> None:
-    """Restore a subtree to an earlier revision, as a new change."""
+    """Restore a subtree to an earlier revision, as a new change.
+
+    `expected_revision` is as in `set_settings`.
+    """
     if expected_revision is None:
         expected_revision = client.get("settings", path=path)["revision"]
     body = {"path": path, "to_revision": to_revision, "expected_revision": expected_revision}
@@ -133,14 +144,14 @@
 def import_settings(
     client: AdminClient, out: Output, path: str, file: Path, expected_revision: int | None
 ) -> None:
-    """Replace a subtree by the one in a file."""
+    """Replace a subtree by the one in a file; `expected_revision` is as in `set_settings`."""
     if expected_revision is None:
         expected_revision = client.get("settings", path=path)["revision"]
     tree = read_json_object(file)
     nodes = tree.get("nodes")
     if not isinstance(nodes, dict):
         raise RejectedInputError(
-            f"{file} is not a settings export", [Finding("/nodes", "is required")]
+            f"{file} is not a settings export", [Finding("/nodes", "must be an object")]
         )
     body = {"path": path, "nodes": nodes, "expected_revision": expected_revision}
     out.fields(client.post("settings/import", body))
@@ -149,7 +160,10 @@
 def set_model(
     client: AdminClient, out: Output, name: str, version: str, min_replicas: int, max_tokens: int
 ) -> None:
-    """Activate a version of a model."""
+    """Activate a version of a model.
+
+    `min_replicas` is its minimum number of replicas, `max_tokens` the limit of one call.
+    """
     body = {
         "name": name,
         "version": version,
@@ -170,6 +184,7 @@
     token = new_secret(TOKEN_PREFIX)
     body = {"name": name, "path": path, "role": role, "token_hash": secret_hash(token)}
     answer = client.post("operators", body)
+    # As in `grant_key`, the token shown is the one whose hash was sent.
     out.fields({"token": token} | {name: v for name, v in answer.items() if name != "token"})
 
 
@@ -179,7 +194,7 @@
 
 
 def list_operators(client: AdminClient, out: Output) -> None:
-    """List the operators."""
+    """List the operators with their subtrees and roles."""
     answer = client.get("operators")
     out.rows(answer, answer["operators"], ["name", "path", "role"])
 
@@ -191,6 +206,6 @@
     return rows
 
 
-def show_token_note() -> None:
-    """Print a reminder to standard error that the secret is shown only once."""
+def show_secret_note() -> None:
+    """Print a reminder to standard error that a key or token is shown only once."""
     click.echo("Save it now: only its hash is stored, and it is not shown again.", err=True)
--- a/libs/cli/tarragonhall_cli/_settings_commands.py
+++ b/libs/cli/tarragonhall_cli/_settings_commands.py
@@ -56,7 +56,7 @@
 ) -> None:
     """Grant a key to an organisation; it is shown only once."""
     _settings.grant_key(session.client, session.out, org_id, hours, replaces, overlap)
-    _settings.show_token_note()
+    _settings.show_secret_note()
 
 
 @key.command("list")
@@ -257,7 +257,7 @@
 def operator_create(session: Session, name: str, path: str, role: str) -> None:
     """Create an operator for the subtree at PATH; the token is shown only once."""
     _settings.create_operator(session.client, session.out, name, path, role)
-    _settings.show_token_note()
+    _settings.show_secret_note()
 
 
 @operator.command("list")
--- a/libs/consensus/tarragonhall_consensus/_interface.py
+++ b/libs/consensus/tarragonhall_consensus/_interface.py
@@ -1,8 +1,8 @@
 """Public interface of the replicated log: events, outputs and the state machine that it drives.
 
-`Replica.step(events, now)` handles a batch of events, syncs storage once for the whole batch, and
-only then returns the outputs, so no message leaves a member before the data that it acknowledges is
-on disk. `now` is the monotonic clock in seconds.
+`Replica.step(events, now)` handles a batch of events, syncs all their changes to the log together,
+and only then returns the outputs, so no message leaves a member before the data that it
+acknowledges is on disk. `now` is the monotonic clock in seconds.
 """
 
 from __future__ import annotations
@@ -28,7 +28,11 @@
 
 
 class Role(enum.StrEnum):
-    """The current role of a member. OUTSIDE: not in the member list under this identity."""
+    """The current role of a member.
+
+    OUTSIDE: not in the member list under the identity of its data folder. LEARNER: holds the log
+    but does not vote.
+    """
 
     OUTSIDE = "outside"
     LEARNER = "learner"
@@ -39,12 +43,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Tick:
-    """Time has passed; to be sent about every `TICK_SECONDS`."""
+    """Time has passed; to be sent about every `TICK_SECONDS` (see `_limits`)."""
 
 
 @dataclass(slots=True, frozen=True)
 class Received:
-    """A message of this library was received from a peer."""
+    """A message of the consensus protocol was received from a peer."""
 
     peer: str
     message: object
@@ -67,11 +71,14 @@
 
 @dataclass(slots=True, frozen=True)
 class ChangeMember:
-    """Add, remove or replace one member. Ends like a proposal; an addition once the member votes.
+    """Add, remove or replace one member. Ends like a proposal.
+
+    An addition or replacement ends only when the new member votes, so it does not end while the
+    limit on voters keeps that member a learner.
 
     `replace` is for a member that lost its data folder: the old identity loses its vote at once,
-    the new one votes after it has caught up. With an empty identity, the identity that answers at
-    the address is used.
+    the new one votes after it has caught up. If `member.identity` is empty, the identity
+    that answers at the address is used.
     """
 
     token: int
@@ -107,7 +114,11 @@
 
 @dataclass(slots=True, frozen=True)
 class ProposalLost:
-    """The outcome of the proposal is unknown, unless `not_logged`: then it was never logged."""
+    """A proposal or member change ended without a result.
+
+    Its outcome is unknown, unless `not_logged`: then it was never logged. `reason` is a text for
+    the caller.
+    """
 
     token: int
     leader: str | None
@@ -140,7 +151,7 @@
 
     @property
     def leads(self) -> bool:
-        """Return whether this member leads now."""
+        """Return whether the role is leader; unlike `is_leader`, this does not check the lease."""
         return self.role == Role.LEADER
 
 
@@ -188,7 +199,7 @@
     """One member of the group."""
 
     def step(self, events: list[Event], now: float) -> list[Output]:
-        """Handle a batch of events and return the outputs, after at most one sync."""
+        """Handle a batch of events and return the outputs after syncing the log."""
 
     def status(self) -> Status:
         """Return the status of this member."""
--- a/libs/consensus/tarragonhall_consensus/_limits.py
+++ b/libs/consensus/tarragonhall_consensus/_limits.py
@@ -1,4 +1,4 @@
-"""Times and sizes of the replicated log, with the reason for each."""
+"""Times, sizes and counts of the replicated log."""
 
 from __future__ import annotations
 
@@ -10,7 +10,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Limits:
-    """Times in seconds, sizes in bytes. The defaults are for production; tests use smaller ones."""
+    """Limits of one member; the suffixes `_seconds` and `_bytes` give the units.
+
+    The defaults are for production; tests use smaller ones.
+    """
 
     # Election timeout: a member starts an election after this long without a leader, up to twice as
     # long at random so that two candidates seldom compete. A slow sync blocks the whole loop of a
@@ -20,8 +23,10 @@
     # Members reject vote requests for `election_seconds` after contact with the leader. The lease
     # ends a tenth earlier, to allow for clocks that run at different speeds.
     lease_seconds: float = 0.9
-    # Maximum delay until followers learn of a commit if no further entries carry it. Nobody waits
-    # for it: the leader answers callers.
+    # A follower that no entries have told of a commit gets a heartbeat at the first step this long
+    # after the last message to it; without other events, that step comes with a `Tick`. A message
+    # for each commit would be half of all messages under load, and nobody waits for it: the leader
+    # answers callers.
     commit_notice_seconds: float = 0.02
     # Three heartbeats may be lost before an election starts.
     heartbeat_seconds: float = 0.25
@@ -37,24 +42,28 @@
     # partitioned into two halves have no majority on either side, and three survive the same single
     # loss.
     most_voters: int = 0
-    # A voter without contact for this long may be compensated for by a learner. Above the time
-    # after which an unresponsive link is closed and redialled.
+    # A learner may be promoted to make up for a voter without contact for this long. Shorter than
+    # `RECEIVE_TIMEOUT_SECONDS` of the links, after which one is closed and redialled.
     unresponsive_seconds: float = 2.5
     # Without a majority nothing commits; beyond this a proposal is rejected without being logged.
     uncommitted_bytes: int = 8 * 1024 * 1024
     # A snapshot transfer to a peer without contact for this long is abandoned, since its bytes are
     # held in memory. Long enough for a peer to load the whole state.
     transfer_timeout_seconds: float = 10.0
-    # The cost of a snapshot grows with the state, so the log must first have grown by the size of
-    # the last snapshot. A snapshot is then due after this many bytes: the log takes up to twice its
-    # size in memory, and a control process with a small state is to stay within 64 MB.
+    # A snapshot is due once the entries applied since the last one reach this size, and also the
+    # size of the last snapshot, since its cost grows with the state. The entries take up to twice
+    # their size in memory, and a control process with a small state is to stay within 64 MB.
     snapshot_bytes: int = 4 * 1024 * 1024
-    # Or after this many entries: replaying them at a restart takes well under a second.
+    # A snapshot is due after this many entries too, even if they are below `snapshot_bytes`, but
+    # not below the size of the last snapshot. Replaying them at a restart takes well under a
+    # second.
     snapshot_entries: int = 20_000
     # Members that take a snapshot at the same entry would all block at once, and no majority would
-    # be left to commit. Each delays its snapshots by a random fraction of up to this.
+    # be left to commit. Each raises its thresholds for a snapshot by a fraction of up to this,
+    # drawn at random when it starts.
     snapshot_jitter: float = 0.5
-    # Retained before a snapshot, so that a member slightly behind does not need the snapshot.
+    # Entries up to the snapshot that are retained, so that a member slightly behind does not need
+    # the snapshot; the limit that is reached first applies.
     trailing_entries: int = 1_000
     trailing_bytes: int = 1024 * 1024
     # The last segment is rewritten at each start: some tens of milliseconds at this size.
@@ -62,7 +71,10 @@
 
 
 def limits_for(election_s: float, base: Limits | None = None) -> Limits:
-    """Return limits for another election timeout, with all dependent times in proportion.
+    """Return limits for another election timeout, with lease, heartbeat and retry in proportion.
+
+    `unresponsive_seconds` and `transfer_timeout_seconds` are unchanged; the latter depends on the
+    time to load the state.
 
     A shorter timeout replaces a dead leader sooner, but also one that is only slow: below about
     ten times a slow sync or the longest step of a busy process, no leader would last for long.
--- a/libs/consensus/tarragonhall_consensus/_snapshots.py
+++ b/libs/consensus/tarragonhall_consensus/_snapshots.py
@@ -16,7 +16,10 @@
 
 
 class SnapshotStore:
-    """The snapshots of one data folder."""
+    """Saves and loads the newest snapshot of one data folder.
+
+    Frame 1 of a snapshot file holds the metadata, the frames from 2 on hold the data.
+    """
 
     __slots__ = ("_files", "_folder")
 
@@ -47,19 +50,22 @@
             return None
         path = f"{self._folder}/{names[-1]}"
         found = scan(self._files.read(path), 1)
-        # An older snapshot is no substitute: the log entries between the two are compacted.
+        # The file was synced before it got its name, so a bad frame (`bad_at` is its offset) means
+        # corruption, not a torn end. An older snapshot, which a crash between rename and removal
+        # leaves, is no substitute: the log may lack the entries between the two.
         if found.bad_at is not None or not found.payloads:
             raise StorageError(f"{path}: corrupt; the member must be replaced")
         try:
             meta = decode(found.payloads[0])
         except CodecError as error:
-            raise StorageError(f"{path}: {error}") from error
+            raise StorageError(f"{path}: cannot decode the metadata: {error}") from error
         data = b"".join(found.payloads[1:])
         if len(data) != meta.size or zlib.crc32(data) != meta.crc:
             raise StorageError(f"{path}: corrupt; the member must be replaced")
         return meta, data
 
     def _names(self) -> list[str]:
+        """Return the file names, oldest first: `Files.names` sorts, and `_path` pads the index."""
         return [name for name in self._files.names(self._folder) if name.endswith(SNAPSHOT_SUFFIX)]
 
     def _path(self, index: int) -> str:
--- a/libs/consensus/tarragonhall_consensus/_storage.py
+++ b/libs/consensus/tarragonhall_consensus/_storage.py
@@ -33,13 +33,14 @@
 from tarragonhall_consensus._snapshots import TEMPORARY_SUFFIX, SnapshotStore
 
 LOCK_NAME = "lock"
-# An identity only has to differ from earlier ones of the same member. It is kept short because
-# every heartbeat carries two.
+# 48 bits make two equal identities among the few folders of a deployment's lifetime practically
+# impossible. Identities of folders and groups are short because every heartbeat carries three: of
+# the group, the sender and the receiver.
 IDENTITY_BITS = 48
 
 
 def generate_identity(rng: random.Random) -> str:
-    """Return a new identity for a data folder or a group."""
+    """Return a new identity for a data folder or a group: `IDENTITY_BITS` as 12 hex digits."""
     return f"{rng.getrandbits(IDENTITY_BITS):012x}"
 
 
@@ -59,7 +60,11 @@
 
 
 class Storage:
-    """The data folder of one member. After a `StorageError` every write fails."""
+    """The data folder of one member. After a failed write, syncs, snapshots and compactions fail.
+
+    `snapshot_data` is the snapshot found at recovery, until the replica has restored it;
+    `load_snapshot` reads the current one.
+    """
 
     __slots__ = (
         "_batch",
@@ -112,7 +117,10 @@
         return index
 
     def put(self, index: int, entry: Entry) -> None:
-        """Write an entry at `index`, dropping existing ones from there on; stored by next sync."""
+        """Write an entry at `index` and drop the existing entries from there on.
+
+        The change is stored by the next sync.
+        """
         put_entry(self.log, index, entry)
         self._segments[-1].include_index(index)
         self._batch.append(entry_item(index, entry))
@@ -147,7 +155,7 @@
         self.sync()
 
     def compact(self, index: int) -> None:
-        """Drop entries up to `index`, and remove the segments that hold no others."""
+        """Drop entries up to `index`, and remove the segments that hold only such entries."""
         self._check()
         self.log.compact(min(index, self.log.last_index))
         for _ in range(self._removable_segments(index)):
@@ -162,7 +170,7 @@
         """Read the data of the newest snapshot from disk."""
         found = self._snapshots.load()
         if found is None:
-            raise StorageError(f"{self._folder}: the snapshot is missing")
+            raise StorageError(f"{self._folder}: the snapshot is missing; replace the member")
         return found[1]
 
     def close(self) -> None:
@@ -175,9 +183,9 @@
     def _removable_segments(self, index: int) -> int:
         """Return how many of the first segments are not needed to read the log after `index`.
 
-        A log can be read from the start of a segment only if no later segment writes an index at or
-        before it. Entries that a leader replaced do so: the segment then starts at entries that
-        were dropped, and the member could not start again.
+        Reading can begin at a segment only if neither it nor a later one holds an entry at or
+        before its `base_index`. One does after a leader replaced entries: `SegmentReader` would
+        reject that entry, and the member could not start again.
         """
         lowest_index = sys.maxsize
         for number in range(len(self._segments) - 1, 0, -1):
@@ -228,21 +236,23 @@
     def _align_log_with_snapshot(self) -> None:
         meta = self.snapshot
         if self.log.base_index > meta.index:
-            raise StorageError(f"{self._folder}: entries after {meta.index} are missing")
+            raise StorageError(
+                f"{self._folder}: entries after {meta.index} are missing; replace the member"
+            )
         if self.log.term_at(meta.index) == meta.term:
             return
         self.log.reset(meta.index, meta.term)
         self._batch.append(reset_item(meta.index, meta.term))
 
-    def _rewrite_segment(self, path: str, good: bytes) -> None:
-        """Rewrite the last segment without its torn end and continue appending to the copy.
+    def _rewrite_segment(self, path: str, valid_data: bytes) -> None:
+        """Rewrite the last segment without an incomplete last frame, and append to the copy.
 
         The bytes read may not be on disk: the process may have died before its sync, or the sync
         may have failed. The next power cut could lose them after this member has acted on them. A
         copy that is synced before use cannot be lost.
         """
-        self._file = self._create(path, good)
-        self._written_bytes = len(good)
+        self._file = self._create(path, valid_data)
+        self._written_bytes = len(valid_data)
 
     def _start_segment(self) -> None:
         """Start a new segment. The previous one is fully synced."""
--- a/libs/control/tarragonhall_control/_link_service.py
+++ b/libs/control/tarragonhall_control/_link_service.py
@@ -1,4 +1,4 @@
-"""Handles the requests of entries and sidecars over links."""
+"""Handles the requests of entries, sidecars, stores and other control members over links."""
 
 from __future__ import annotations
 
@@ -65,7 +65,12 @@
 
 
 class LinkService:
-    """Handlers of messages from other processes to a control member."""
+    """Handlers of messages from other processes to a control member.
+
+    A confirmation of the leadership costs a round trip to every member, so heartbeats share them
+    and wait up to `BATCH_SECONDS` for it (see `_confirmation`). Queries are confirmed singly, at
+    once.
+    """
 
     __slots__ = ("_confirmation", "_member")
 
@@ -74,7 +79,7 @@
         self._confirmation = SharedConfirmation(member.confirm)
 
     def register(self) -> None:
-        """Register the message handlers."""
+        """Register the handlers with the hub, which calls them for messages on any link."""
         hub = self._member.context.hub
         hub.handle(Propose, self.on_propose)
         hub.handle(Heartbeat, self.on_heartbeat)
@@ -84,6 +89,7 @@
         hub.handle(QueryProgram, self._confirmed_reader(self._program))
         hub.handle(QueryLiving, self._confirmed_reader(self._living))
         hub.handle(QueryQuarantine, self._confirmed_reader(self._quarantine))
+        # These two methods of the member confirm the leadership themselves.
         hub.handle(QueryRelay, lambda _link, _query: self._member.relay_document())
         hub.handle(QueryRetired, lambda _link, query: self._member.retirement(query.store_id))
 
@@ -94,7 +100,10 @@
         return self._commit(message.body, message.request_id)
 
     def on_heartbeat(self, link: Link, heartbeat: Heartbeat) -> Fresh | NotLeader:
-        """Send a follower the updates it lacks after a majority confirmed the leadership.
+        """Record a heartbeat; once a majority confirmed the leadership, reply with the updates.
+
+        The sender is a follower of the settings and the view, and is sent what it lacks of them. A
+        `relay_version` of None means that it takes no relay documents.
 
         The confirmation must start after the heartbeat arrived. With an earlier one, a leader that
         was just partitioned could report settings as fresh that a new leader has already changed.
@@ -109,6 +118,7 @@
         if not self._confirmation.join():
             return self._not_leader()
         state = member.state
+        # Earlier owners of rates have stopped, as far as the sender has waited them out.
         member.on_owners_settled(heartbeat.settled_owners)
         behind = heartbeat.settings_revision < state.revision
         view, delta = member.followers.view_since(heartbeat.view_epoch)
@@ -123,6 +133,7 @@
         return Fresh(
             settings_revision=state.revision,
             view_epoch=state.epoch,
+            # The fencing token of a leader is its term.
             fencing=member.loop.replica.status().term,
             policy=policy_for(heartbeat.node, policy),
             view=view,
@@ -173,8 +184,10 @@
         return self._member.state.program(query.program_id, query.org_id)
 
     def _living(self, query: QueryLiving) -> object:
+        """Return the ids of the given programs that are open."""
         return self._member.state.living(query.program_ids)
 
     def _quarantine(self, query: QueryQuarantine) -> object:
+        """Return whether a request is quarantined, because its calls crashed servers."""
         now_ms = self._member.context.wall_ms()
         return self._member.state.quarantine(query.fingerprint, now_ms)
--- a/libs/decisions/tarragonhall_decisions/_in_service.py
+++ b/libs/decisions/tarragonhall_decisions/_in_service.py
@@ -1,14 +1,18 @@
-"""The calls that servers run for one entry, and how fast their slots come free."""
+"""The calls that servers run for the queues of one entry, and how fast their slots come free."""
 
 from __future__ import annotations
 
 from typing import Protocol
 
+# Keeps a call without a run time or an age from making the drain rate infinite.
 MIN_RUN_S = 1e-3
 
 
 class RunningCall(Protocol):
-    """What is required of a running call: its cost, expected run time and start time."""
+    """What is required of a running call: its cost, expected run time and start time.
+
+    The cost is in expected tokens, 1 for a service call.
+    """
 
     call_id: str
     cost: float
@@ -33,10 +37,11 @@
         return self._by_id.pop(call_id, None) is not None
 
     def drain_per_s(self, now: float) -> float:
-        """Return the cost that ends in a second; zero while nothing runs.
+        """Return the drain rate: the total cost of the calls expected to end per second.
 
-        A call that takes longer than expected counts with its age, so the rate falls while servers
-        hang and follows a loss of servers at once.
+        It is zero while nothing runs. If a call takes longer than expected, its age is used instead
+        of its expected run time, so the rate falls while servers hang. It falls at once when the
+        calls of a lost server are removed.
         """
         return sum(
             call.cost / max(call.run_s, now - call.taken, MIN_RUN_S)
--- a/libs/decisions/tarragonhall_decisions/_rate_shares.py
+++ b/libs/decisions/tarragonhall_decisions/_rate_shares.py
@@ -1,4 +1,4 @@
-"""The rate of an organisation in several shares, each with its own owner.
+"""Divides an organisation's rate into shares, each with its own owner.
 
 Load patterns and what happens without shares:
 - The entry that owns the bucket of a busy organisation freezes, dies or is disconnected. Until this
@@ -8,8 +8,9 @@
   costs a request and a reply for each call.
 
 A rate and its burst are divided into equal shares. Each share is a bucket with an owner chosen by
-the share's name, so losing an entry stops one share only. Each share keeps to its part of rate and
-burst across all hand-overs and restarts (see `_rate`), so together they keep to the whole.
+the share's name, so losing an entry stops only the shares that it owns. Each share keeps to its
+part of rate and burst across all hand-overs and restarts (see `_rate`), so together they keep to
+the whole.
 
 A call tries the shares that this entry owns first, which costs no message, then the others. It
 moves on as soon as a share is exhausted or its owner is unreachable. If all are exhausted, it waits
@@ -36,14 +37,16 @@
 from tarragonhall_decisions._rate import RateLimiter, RateOutput
 from tarragonhall_decisions._rate_holder import Admitted, RateRefused
 
-# Maximum shares of one rate: the loss of an entry then takes a sixth of it, less than organisations
-# keep in reserve.
+# Maximum shares of one rate: with six owners, the loss of one takes a sixth of the rate, less than
+# organisations keep in reserve. It takes more where an entry owns several shares, or where
+# `MIN_BURST` allows only fewer.
 MAX_SHARES = 6
-# Minimum burst of a share, in calls. Calls come a few at once and a share must hold as many: with a
-# burst of 2, an organisation of 12 calls a second had nearly all calls refused that one bucket
-# served.
+# Minimum burst of a share, in calls; a rate with a smaller burst is one share. Calls arrive several
+# at a time, and a share must have tokens for all of them: with a burst of 2 per share, an
+# organisation of 12 calls a second had nearly all calls refused that a single bucket would have
+# admitted; with 8, it had no more refused than with a single bucket.
 MIN_BURST = 8.0
-# Never part of an organisation's id, so that no share is named like another organisation.
+# Never part of an organisation's id, so that no share has the same name as an organisation.
 SEPARATOR = "\x1f"
 
 
@@ -110,7 +113,10 @@
         self._limiter.renew_lease(sent_at)
 
     def settled_owners(self, now: float) -> int:
-        """Return the version of the view's owners once all previous ones are waited out, else 0."""
+        """Return the `owners_version` whose earlier owners must have stopped by now, else 0.
+
+        They have stopped once their leases and the slices that they granted have expired.
+        """
         return self._limiter.settled_owners(now)
 
     def offer(
@@ -139,7 +145,8 @@
     def return_token(self, org_id: str, now: float) -> bool:
         """Return the token of an admitted call that did not run; False if it is too late.
 
-        Any share can take it: the share that granted the token counts it as spent.
+        It may go to another share than the one that granted it: that share takes a spent token of
+        its own back, the granting one still counts one as spent, and the sum stays the same.
         """
         for share in self._shares_by_org.get(org_id, ()):
             if self._limiter.return_token(share, now):
@@ -157,7 +164,10 @@
         return bool(shares) and all(self._limiter.is_exhausted(share, now) for share in shares)
 
     def tick(self, now: float) -> list[RateOutput]:
-        """Do what is due: refuse expired calls, repeat requests, report ended slices."""
+        """Do what is due: refuse expired calls, repeat requests, report ended slices.
+
+        A slice is an amount of tokens that the owner of a bucket lent to an entry, with an end.
+        """
         return self._process_outputs(self._limiter.tick(now), now)
 
     def next_wake(self) -> float | None:
@@ -184,7 +194,10 @@
         return self._limiter.handle(message, now)
 
     def _process_outputs(self, outputs: list[RateOutput], now: float) -> list[RateOutput]:
-        """Return the outputs for the caller; calls whose share cannot serve them go to the next."""
+        """Return the outputs for the caller.
+
+        Calls that their share cannot serve are offered to their next share.
+        """
         done, refused = self._split_refusals(outputs)
         for call_id in refused:
             call = self._call_by_id.get(call_id)
@@ -229,7 +242,10 @@
         return done, refused
 
     def _offer_next(self, call: _Call, now: float) -> list[RateOutput]:
-        """Offer a call to the next share that may have a token, or queue it at the best one."""
+        """Offer a call to the next share that may have a token.
+
+        If there is none, queue it at the share with the shortest expected wait.
+        """
         done: list[RateOutput] = []
         for share in self._by_preference(call.org_id):
             if share in call.tried or self._cannot_serve(share, now):
@@ -256,7 +272,8 @@
         for call_id in refused:
             other = self._call_by_id[call_id]
             if other is not call:
-                # The next event offers it to another share; until then it waits at none.
+                # The next `_process_outputs` offers it to another share; until then it waits at
+                # none.
                 other.share = ""
         return done
 
@@ -268,6 +285,8 @@
         )
 
     def _shortest_wait(self, org_id: str, now: float) -> str:
+        # An organisation without a policy has no shares: no rate is known under its own id, so the
+        # limiter grants the call no token.
         shares = self._by_preference(org_id) or [org_id]
         return min(shares, key=lambda share: self._limiter.expected_wait_s(share, now))
 
--- a/libs/relay/tarragonhall_relay/_attempt.py
+++ b/libs/relay/tarragonhall_relay/_attempt.py
@@ -12,7 +12,7 @@
 from tarragonhall_relay._backend import MAX_EXTRA_RESPONSES, BackendConnection
 from tarragonhall_relay._client import HOP_HEADERS
 from tarragonhall_relay._dialect import AnswerFacts, DispatchFacts, Headers
-from tarragonhall_relay._errors import AnswerTimeoutError, BackendError
+from tarragonhall_relay._errors import BackendError, ResponseTimeoutError
 from tarragonhall_relay._state import RelayState
 
 log = structlog.get_logger(__name__)
@@ -87,7 +87,7 @@
     try:
         _send(state, call, server, body, urgency, connection)
         timeout_error = (
-            AnswerTimeoutError(answer_timeout_s) if answer_timeout_s is not None else None
+            ResponseTimeoutError(answer_timeout_s) if answer_timeout_s is not None else None
         )
         with eventlet.Timeout(answer_timeout_s, timeout_error):
             outcome, facts = _read_response(state, call, connection)
@@ -97,7 +97,7 @@
             keep_open = True
             state.pool.release(connection, facts.keep_alive_s)
         return outcome
-    except AnswerTimeoutError as error:
+    except ResponseTimeoutError as error:
         return MayHaveRun(str(error), timed_out=True)
     except BackendError as error:
         if not error.sent:
--- a/libs/relay/tarragonhall_relay/_errors.py
+++ b/libs/relay/tarragonhall_relay/_errors.py
@@ -1,4 +1,4 @@
-"""Errors that end a relayed call or one attempt at it."""
+"""Errors that end a relayed call, or only one attempt at it (`BackendError` and its subclass)."""
 
 from __future__ import annotations
 
@@ -32,11 +32,11 @@
         self.sent = sent
 
 
-class AnswerTimeoutError(BackendError):
-    """A server has not responded for several times as long as such calls take.
+class ResponseTimeoutError(BackendError):
+    """A server has not responded for several times the usual duration of such calls.
 
-    Most likely its response was lost. Unlike a connection that breaks, this is no evidence that the
-    call crashes servers.
+    Most likely its response was lost. A broken connection counts as evidence that the call crashes
+    servers; this error does not.
     """
 
     def __init__(self, after_s: float) -> None:
@@ -44,4 +44,4 @@
 
 
 class IncompleteResponseError(TarragonhallError):
-    """The response failed after its head was sent; closing the connection is all that shows it."""
+    """The response failed after its head was sent: only closing the connection tells the client."""
