--- a/libs/control/tarragonhall_control/_member.py
+++ b/libs/control/tarragonhall_control/_member.py
@@ -7,7 +7,7 @@
 import eventlet
 import structlog
 from tarragonhall_consensus import Limits, RoleChanged
-from tarragonhall_decisions import LossesBorne, StoreFounding
+from tarragonhall_decisions import StoreBootstrap, ToleratedLosses
 from tarragonhall_group import (
     PROPOSE_SECONDS,
     GroupHooks,
@@ -88,8 +88,8 @@
         )
         self.orders = OrderSender(self)
         self._announcing: set[str] = set()
-        losses = LossesBorne(settings.losses_borne, settings.zone_losses_borne)
-        self._store_bootstrap = StoreFounding(losses)
+        losses = ToleratedLosses(settings.losses_borne, settings.zone_losses_borne)
+        self._store_bootstrap = StoreBootstrap(losses)
         self._leads = False
         self._settling = False
         self._ownership_s = settings.ownership_ms / 1000
@@ -254,7 +254,7 @@
             self.remove(node, stopped=elapsed_s > self._ownership_s)
 
     def _bootstrap_stores(self) -> None:
-        bootstrap_members = self._store_bootstrap.founders(
+        bootstrap_members = self._store_bootstrap.initial_members(
             self.state.view(), self.context.monotonic()
         )
         if bootstrap_members:
--- a/libs/decisions/tarragonhall_decisions/__init__.py
+++ b/libs/decisions/tarragonhall_decisions/__init__.py
@@ -105,10 +105,10 @@
         "subset",
     ),
     "_silent_servers": ("SilentServers",),
-    "_spent_programs": ("SpentPrograms",),
-    "_store_founding": (
-        "LossesBorne",
-        "StoreFounding",
+    "_exhausted_programs": ("ExhaustedPrograms",),
+    "_store_bootstrap": (
+        "ToleratedLosses",
+        "StoreBootstrap",
     ),
     "_urgency": ("urgency_of",),
 }
--- a/libs/decisions/tarragonhall_decisions/_spent_programs.py
+++ b/libs/decisions/tarragonhall_decisions/_exhausted_programs.py
@@ -24,7 +24,7 @@
     expires_at: float
 
 
-class SpentPrograms:
+class ExhaustedPrograms:
     """The last known usage of programs that were refused because of their budget."""
 
     __slots__ = ("_usage_by_program",)
@@ -32,7 +32,9 @@
     def __init__(self) -> None:
         self._usage_by_program: OrderedDict[tuple[str, str], _Usage] = OrderedDict()
 
-    def note(self, org_id: str, program_id: str, tokens: int, keep_s: float, now: float) -> None:
+    def record_usage(
+        self, org_id: str, program_id: str, tokens: int, keep_s: float, now: float
+    ) -> None:
         """Record a program's usage; the stores forget it `keep_s` after the program's last turn."""
         key = (org_id, program_id)
         known = self._usage_by_program.pop(key, None)
@@ -42,7 +44,7 @@
         while len(self._usage_by_program) > MAX_PROGRAMS:
             self._usage_by_program.popitem(last=False)
 
-    def refuses(
+    def exceeds_budget(
         self, org_id: str, program_id: str, budget: int, max_tokens: int, now: float
     ) -> bool:
         """Return whether a turn of `max_tokens` certainly does not fit into a program's budget."""
--- a/libs/decisions/tarragonhall_decisions/_store_founding.py
+++ b/libs/decisions/tarragonhall_decisions/_store_bootstrap.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class LossesBorne:
+class ToleratedLosses:
     """How many machines, or whole availability zones, may be lost at once."""
 
     machines: int = 1
@@ -36,17 +36,17 @@
         return 2 * self.machines + 1
 
 
-class StoreFounding:
+class StoreBootstrap:
     """Watches the leader's view until the initial members can be named."""
 
     __slots__ = ("_count_changed_at", "_fresh_count", "_losses")
 
-    def __init__(self, losses: LossesBorne) -> None:
+    def __init__(self, losses: ToleratedLosses) -> None:
         self._losses = losses
         self._fresh_count = 0
         self._count_changed_at = 0.0
 
-    def founders(self, view: View, now: float) -> list[str]:
+    def initial_members(self, view: View, now: float) -> list[str]:
         """Return the initial members to commit now; empty if it is too early or already decided."""
         if view.store_founders:
             return []
--- a/libs/relay/tarragonhall_relay/_call_turn.py
+++ b/libs/relay/tarragonhall_relay/_call_turn.py
@@ -47,7 +47,7 @@
         if not call.route.retained or key.token_budget is None:
             return None
         now = self._state.monotonic()
-        if self._state.exhausted_programs.refuses(
+        if self._state.exhausted_programs.exceeds_budget(
             key.org_id, key.program_id, key.token_budget, key.max_tokens, now
         ):
             return BUDGET_EXHAUSTED
@@ -88,7 +88,7 @@
             return
         message = ProgramSpent(key.org_id, key.program_id, spent, key.retention_ms)
         now = self._state.monotonic()
-        self._state.exhausted_programs.note(
+        self._state.exhausted_programs.record_usage(
             key.org_id, key.program_id, spent, key.retention_ms / 1000, now
         )
         self._state.report_exhausted(message)
--- a/libs/relay/tarragonhall_relay/_followers.py
+++ b/libs/relay/tarragonhall_relay/_followers.py
@@ -215,7 +215,7 @@
     def _on_exhausted(self, _link: Link, message: ProgramSpent) -> None:
         retention_s = message.retention_ms / 1000
         now = self._context.monotonic()
-        self._state.exhausted_programs.note(
+        self._state.exhausted_programs.record_usage(
             message.org_id, message.program_id, message.spent, retention_s, now
         )
 
--- a/libs/relay/tarragonhall_relay/_state.py
+++ b/libs/relay/tarragonhall_relay/_state.py
@@ -10,8 +10,8 @@
     BackendChooser,
     ColdSlack,
     CrashSuspects,
+    ExhaustedPrograms,
     RetryBudget,
-    SpentPrograms,
 )
 from tarragonhall_model import ProgramSpent
 from tarragonhall_rates import Rates
@@ -51,7 +51,7 @@
     store_zones: Callable[[], set[str]]
     cold_slack: ColdSlack = ColdSlack()
     retry_budget: RetryBudget = field(default_factory=RetryBudget)
-    exhausted_programs: SpentPrograms = field(default_factory=SpentPrograms)
+    exhausted_programs: ExhaustedPrograms = field(default_factory=ExhaustedPrograms)
     table: RouteTable | None = None
     draining: bool = False
     calls_in_flight: int = 0
