--- a/libs/decisions/tarragonhall_decisions/__init__.py
+++ b/libs/decisions/tarragonhall_decisions/__init__.py
@@ -55,8 +55,8 @@
         "ModelDemand",
         "ModelOrders",
     ),
-    "_place_queue": (
-        "PlaceQueue",
+    "_service_queue": (
+        "ServiceQueue",
         "Tier",
     ),
     "_quarantine": (
@@ -104,7 +104,7 @@
         "Router",
         "subset",
     ),
-    "_silent_servers": ("SilentServers",),
+    "_unresponsive_servers": ("UnresponsiveServers",),
     "_exhausted_programs": ("ExhaustedPrograms",),
     "_store_bootstrap": (
         "ToleratedLosses",
--- a/libs/decisions/tarragonhall_decisions/_backend_choice.py
+++ b/libs/decisions/tarragonhall_decisions/_backend_choice.py
@@ -13,7 +13,7 @@
   in a row, and then tried again: it may be the only one, or have recovered.
 - Servers queue calls beyond their slots in order of arrival, where no priority reaches them. The
   calls of all entries are therefore kept to `OVERCOMMIT` times the slots, and the rest waits in the
-  entry's `PlaceQueue`, which knows their priorities. An entry below its equal share of the slots
+  entry's `ServiceQueue`, which knows their priorities. An entry below its equal share of the slots
   may always send, since its count of the other entries' calls is half a second old.
 - A server that has just started, or may have while unreachable, gets calls up to a limit over all
   entries (`ColdServers`).
@@ -21,7 +21,7 @@
   (`ServerWindow`).
 - An engine runs one call per slot; the next call waits until one ends. What a slot costs is learnt
   from run times (`ServiceRunTimes`).
-- An unresponsive server or zone is detected by all entries together (`SilentServers`).
+- An unresponsive server or zone is detected by all entries together (`UnresponsiveServers`).
 - A slow or hung plain server takes as many calls as the others and delays each. Its share falls
   as its calls take longer. A slow engine shows in the calls that pile up there; judged by the
   pauses of its streams as well, engines lost calls by chance.
@@ -43,7 +43,7 @@
 from tarragonhall_decisions._cold_servers import ColdServers
 from tarragonhall_decisions._server_window import ServerWindow
 from tarragonhall_decisions._service_run_times import ServiceRunTimes
-from tarragonhall_decisions._silent_servers import SilentServers
+from tarragonhall_decisions._unresponsive_servers import UnresponsiveServers
 
 # Prompt tokens that an engine reads in a millisecond: the slowest rate that engines publish, so
 # that a long prompt is not read twice for a small gain.
@@ -173,7 +173,7 @@
         "_slots_by_service",
         "_zone",
         "cold",
-        "silent",
+        "unresponsive",
     )
 
     def __init__(
@@ -200,12 +200,12 @@
         self._local_ids_by_service: dict[str, list[str]] = {}
         self._load_by_id: dict[str, ServerLoad] = {}
         self._holders_by_part: OrderedDict[str, list[str]] = OrderedDict()
-        self.silent = SilentServers()
+        self.unresponsive = UnresponsiveServers()
 
     def set_servers(self, records: list[BackendRecord], now: float) -> None:
         """Replace the known servers."""
         self._records = records
-        self.silent.set_servers(records)
+        self.unresponsive.set_servers(records)
         for record in records:
             self.cold.on_announcement(record, now)
         known = {record.server_id for record in records}
@@ -264,7 +264,7 @@
         """Return the servers of a service that may get calls."""
         return self._servers_by_service.get(service, [])
 
-    def pace(self, service: str) -> ServiceRunTimes:
+    def run_times(self, service: str) -> ServiceRunTimes:
         """Return the run times of a service, to which the caller adds each call that ends."""
         run_times = self._run_times_by_service.get(service)
         if run_times is None:
@@ -301,7 +301,7 @@
 
     def own_signs(self, now: float) -> ServerSigns:
         """Return this entry's counts of overdue and answered calls, for the other entries."""
-        return ServerSigns(*self.silent.own_signs(now))
+        return ServerSigns(*self.unresponsive.own_signs(now))
 
     def choose(self, need: CallNeed, now: float) -> BackendRecord | None:
         """Return the server with the lowest cost; None where no server accepts the call."""
@@ -310,7 +310,7 @@
         lowest = float("inf")
         preferred = self._preferred_server(need)
         is_below_share = self._is_below_share(need.service)
-        unresponsive_ms = self.silent.costs(now)
+        unresponsive_ms = self.unresponsive.costs(now)
         for record in self._candidates(need, preferred):
             if not need.allows(record) or not self._accepts_call(record, is_below_share, now):
                 continue
@@ -388,7 +388,7 @@
         self, record: BackendRecord, need: CallNeed, preferred: str | None, now: float
     ) -> float:
         load = self.load(record.server_id)
-        run_times = self.pace(need.service)
+        run_times = self.run_times(need.service)
         cost = 0.0 if record.availability_zone == self._zone else self._cross_zone_ms(need)
         running = load.running + self._others_running_by_server[record.server_id]
         cost += self._slot_wait_ms(running, record.slots, run_times.run_ms)
@@ -444,7 +444,7 @@
         for other in self._other_load_by_entry.values():
             overdue.update(other.signs.silent_by_server)
             answered.update(other.signs.answered_by_server)
-        self.silent.set_other_counts(overdue, answered)
+        self.unresponsive.set_other_counts(overdue, answered)
 
     def _forget_load(self, entry_id: str) -> None:
         other = self._other_load_by_entry.pop(entry_id, None)
--- a/libs/decisions/tarragonhall_decisions/_fair_queue.py
+++ b/libs/decisions/tarragonhall_decisions/_fair_queue.py
@@ -53,7 +53,7 @@
     """A call that waits for a server.
 
     `cost` is its expected tokens (1 for a service call), `attained` the tokens that its program has
-    already used, `started` whether the program had an earlier call. `patience_s` limits its wait in
+    already used, `started` whether the program had an earlier call. `max_wait_s` limits its wait in
     addition to the deadline.
     """
 
@@ -65,9 +65,9 @@
     run_s: float = 0.0
     attained: float = 0.0
     started: bool = False
-    patience_s: float = float("inf")
+    max_wait_s: float = float("inf")
     arrived: float = 0.0
-    taken: float = 0.0
+    dequeued_at: float = 0.0
 
     def rank(self) -> float:
         """Return the order within the organisation, lower first; it does not change over time."""
@@ -82,7 +82,7 @@
         time_left = self.deadline.at - self.arrived
         needed = min(self.run_s, MIN_WAIT_SHARE * time_left)
         by_deadline = self.deadline.at - needed - REPLY_MARGIN_MS / 1000
-        return min(by_deadline, self.arrived + self.patience_s)
+        return min(by_deadline, self.arrived + self.max_wait_s)
 
 
 @dataclass(slots=True, frozen=True)
@@ -112,7 +112,7 @@
 class FairQueue:
     """The calls that wait for one target at one entry.
 
-    The caller runs `expire` before `take`, and `on_end` (or `give_back`) once for each call taken.
+    The caller runs `expire` before `take`, and `on_end` (or `requeue`) once for each call taken.
     """
 
     per_organisation: int = 1_000
@@ -165,11 +165,11 @@
         self._virtual = self._start_tag(org)
         org.finish = self._virtual + call.cost / org.weight
         self._update_order(chosen)
-        call.taken = now
+        call.dequeued_at = now
         self.in_service.add(call)
         return call
 
-    def give_back(self, call: QueuedCall) -> None:
+    def requeue(self, call: QueuedCall) -> None:
         """Requeue a call that was taken but not run, at its old position and without its charge."""
         if not self.in_service.remove(call.call_id):
             return
--- a/libs/decisions/tarragonhall_decisions/_in_service.py
+++ b/libs/decisions/tarragonhall_decisions/_in_service.py
@@ -13,7 +13,7 @@
     call_id: str
     cost: float
     run_s: float
-    taken: float
+    dequeued_at: float
 
 
 class InService:
@@ -39,6 +39,6 @@
         hang and follows a loss of servers at once.
         """
         return sum(
-            call.cost / max(call.run_s, now - call.taken, MIN_RUN_S)
+            call.cost / max(call.run_s, now - call.dequeued_at, MIN_RUN_S)
             for call in self._by_id.values()
         )
--- a/libs/decisions/tarragonhall_decisions/_place_queue.py
+++ b/libs/decisions/tarragonhall_decisions/_service_queue.py
@@ -13,7 +13,7 @@
 - Programs that never end always have calls waiting. If every slot went to them first, no other
   program would start, so one slot in `FIRST_CALLS_EVERY` goes to a first call.
 
-A call whose wait is known to exceed its `patience_s` is refused at once, with the time after which
+A call whose wait is known to exceed its `max_wait_s` is refused at once, with the time after which
 there should be room. These times are spread, because callers refused together would otherwise retry
 together.
 """
@@ -51,11 +51,11 @@
 
 
 @dataclass(slots=True)
-class PlaceQueue:
+class ServiceQueue:
     """The calls of one entry that wait for slots at one service, by tier.
 
-    The caller runs `expire` before `take`, and for each call taken `give_back`, or `placed` and
-    then once `on_end` or `give_back`.
+    The caller runs `expire` before `take`, and for each call taken `requeue`, or `on_slot_assigned`
+    and then once `on_end` or `requeue`.
     """
 
     rng: random.Random
@@ -67,14 +67,14 @@
     def __len__(self) -> int:
         return sum(len(queue) for queue in self._queue_by_tier.values())
 
-    def turn_away(self, call: QueuedCall, tier: Tier, now: float) -> Refusal | None:
-        """Return the refusal of a call that would wait longer than its `patience_s`, else None.
+    def reject_early(self, call: QueuedCall, tier: Tier, now: float) -> Refusal | None:
+        """Return the refusal of a call that would wait longer than its `max_wait_s`, else None.
 
         Called before anything is spent on the call: under overload most calls end here, and the
         stores would otherwise open and end a turn for each.
         """
         wait_s = self._wait_s(tier, call.org_id, now)
-        if wait_s > call.patience_s:
+        if wait_s > call.max_wait_s:
             return self._refusal(wait_s)
         return None
 
@@ -92,10 +92,10 @@
             waiting = [tier for tier in waiting if tier.begins] or waiting
         return self._queue_by_tier[min(waiting)].take(now)
 
-    def placed(self, call: QueuedCall) -> None:
+    def on_slot_assigned(self, call: QueuedCall) -> None:
         """Record that a taken call got a slot.
 
-        Only these count towards `FIRST_CALLS_EVERY`. Otherwise, calls taken and given back while no
+        Only these count towards `FIRST_CALLS_EVERY`. Otherwise, calls taken and requeued while no
         server has room would use up the turn of a first call at each attempt.
         """
         if self._tier_by_id[call.call_id].begins:
@@ -103,9 +103,9 @@
         else:
             self._since_first_call += 1
 
-    def give_back(self, call: QueuedCall) -> None:
+    def requeue(self, call: QueuedCall) -> None:
         """Requeue a call that was taken but not run, at its old position."""
-        self._queue(self._tier_by_id[call.call_id]).give_back(call)
+        self._queue(self._tier_by_id[call.call_id]).requeue(call)
 
     def remove(self, call: QueuedCall) -> None:
         """Remove a waiting call whose caller disconnected."""
--- a/libs/decisions/tarragonhall_decisions/_service_run_times.py
+++ b/libs/decisions/tarragonhall_decisions/_service_run_times.py
@@ -38,8 +38,8 @@
 OVERDUE_RUNS = 4.0
 # Mean run times after which an idempotent call is sent to another server, longer than look-ups take
 # at a healthy server. The minimum covers a server's queue where calls are very short.
-PATIENCE_RUNS = 5.0
-MIN_PATIENCE_MS = 100.0
+ANSWER_TIMEOUT_RUNS = 5.0
+MIN_ANSWER_TIMEOUT_MS = 100.0
 # Calls after which a mean run time is reliable.
 MIN_SAMPLES = 20
 # One sample must not outweigh all earlier ones.
@@ -89,7 +89,7 @@
         """Record how long a stream ran, which depends on the request more than on the server."""
         self._run.add(run_ms)
 
-    def patience_s(self, kind: str, left_s: float) -> float | None:
+    def answer_timeout_s(self, kind: str, left_s: float) -> float | None:
         """Return the seconds after which an unanswered idempotent call goes to another server.
 
         None where it should wait: the mean run time is not known, or too little would be left of
@@ -98,11 +98,11 @@
         mean = self._mean_by_kind.get(kind)
         if mean is None or mean.count < MIN_SAMPLES:
             return None
-        patience_s = max(MIN_PATIENCE_MS, PATIENCE_RUNS * mean.value) / 1000
-        needed_s = PATIENCE_RUNS / 2 * mean.value / 1000
-        return patience_s if patience_s + needed_s <= left_s else None
+        answer_timeout_s = max(MIN_ANSWER_TIMEOUT_MS, ANSWER_TIMEOUT_RUNS * mean.value) / 1000
+        needed_s = ANSWER_TIMEOUT_RUNS / 2 * mean.value / 1000
+        return answer_timeout_s if answer_timeout_s + needed_s <= left_s else None
 
-    def run_of_s(self, kind: str) -> float | None:
+    def mean_run_s(self, kind: str) -> float | None:
         """Return the mean run time of one kind of plain calls; None after too few calls."""
         mean = self._mean_by_kind.get(kind)
         if mean is None or mean.count < MIN_SAMPLES:
--- a/libs/decisions/tarragonhall_decisions/_silent_servers.py
+++ b/libs/decisions/tarragonhall_decisions/_unresponsive_servers.py
@@ -59,7 +59,7 @@
         return not (self.sent_at_by_call or self.answered_at or self.lost_at)
 
 
-class SilentServers:
+class UnresponsiveServers:
     """What one entry knows of unresponsive servers."""
 
     __slots__ = (
@@ -105,7 +105,7 @@
             now - sent_at - mean_s
         )
 
-    def left(self, server_id: str, call_id: str, now: float) -> None:
+    def on_left(self, server_id: str, call_id: str, now: float) -> None:
         """Record that a call has left a server, answered or not."""
         server = self._server_by_id.get(server_id)
         sent_at = server.sent_at_by_call.pop(call_id, None) if server is not None else None
--- a/libs/decisions/tests/backend_choice_tests.py
+++ b/libs/decisions/tests/backend_choice_tests.py
@@ -201,7 +201,7 @@
     ]
     chooser = make_chooser(records)
     for _ in range(40):
-        chooser.pace("models").stream_ended(190.0)
+        chooser.run_times("models").stream_ended(190.0)
     conversation = need(PromptPart("talk", 1_000), PromptPart("new", 300), last="i-1")
     chooser.answered("i-1", need(PromptPart("talk", 1_000)))
     chooser.started("i-1", 0.0)
@@ -218,9 +218,9 @@
     records = plain_servers(4)
     chooser = make_chooser(records)
     for number in range(40):
-        chooser.pace("desk").call_ended(f"d-{number % 4}", "lookup", 60.0, 0.0)
+        chooser.run_times("desk").call_ended(f"d-{number % 4}", "lookup", 60.0, 0.0)
     for _ in range(3):
-        chooser.pace("desk").call_ended("d-2", "lookup", 300.0, 1.0)
+        chooser.run_times("desk").call_ended("d-2", "lookup", 300.0, 1.0)
     assert {chooser.choose(CallNeed("desk"), 1.1).server_id for _ in range(200)} == {
         "d-0",
         "d-1",
@@ -238,7 +238,7 @@
     records = plain_servers(4)
     chooser = make_chooser(records)
     for number in range(40):
-        chooser.pace("desk").call_ended(f"d-{number % 4}", "lookup", 60.0, 0.0)
+        chooser.run_times("desk").call_ended(f"d-{number % 4}", "lookup", 60.0, 0.0)
     chooser.started("d-1", 1.0)
     chosen = {chooser.choose(CallNeed("desk"), 1.6).server_id for _ in range(200)}
     assert "d-1" not in chosen
--- a/libs/decisions/tests/fair_queue_tests.py
+++ b/libs/decisions/tests/fair_queue_tests.py
@@ -55,7 +55,7 @@
                 queue.on_end(taken.pop(0), size)
             case "back" if taken:
                 item = taken.pop()
-                queue.give_back(item)
+                queue.requeue(item)
                 waiting.add(item.call_id)
             case "remove" if waiting:
                 name = min(waiting)
@@ -128,7 +128,7 @@
             case "end" if taken:
                 queue.on_end(taken.pop(0), size)
             case "back" if taken:
-                queue.give_back(taken.pop())
+                queue.requeue(taken.pop())
             case "remove" if len(queue):
                 name = min(name for one in queue._by_org.values() for name in one.waiting)
                 assert queue.remove(name, name[0]).call_id == name
@@ -148,7 +148,7 @@
     queue.on_end(queue.take(0.0), 1e9)
     for number in range(2_000):
         queue.offer(call("busy", f"a{number}"), 0.0)
-        queue.give_back(queue.take(0.0))
+        queue.requeue(queue.take(0.0))
         queue.on_end(queue.take(0.0), 10.0 + number % 3)
     order = queue._organisation_order
     assert len(order._later) + len(order._due) <= 100
--- a/libs/decisions/tests/load_tests.py
+++ b/libs/decisions/tests/load_tests.py
@@ -127,7 +127,7 @@
             need = Need(TARGET, call.program_id, self.world.prompt(program), 50.0, call.started)
             choice = self.router.choose(need, now)
             if choice is None:
-                self.queue.give_back(call)
+                self.queue.requeue(call)
                 return
             self.open[call.call_id] = call
             server = self.world.server_by_id[choice.server.server_id]
@@ -143,7 +143,7 @@
         """Record the end of a call and send waiting ones."""
         call = self.open.pop(program.name)
         self.queue.on_end(call, units)
-        self.times.on_end(TARGET, self.world.now - call.taken, int(units))
+        self.times.on_end(TARGET, self.world.now - call.dequeued_at, int(units))
         self.router.on_end(server.record.server_id, program.name, units, True, self.world.now)
         self.pump()
 
--- a/libs/decisions/tests/place_queue_tests.py
+++ b/libs/decisions/tests/service_queue_tests.py
@@ -9,7 +9,7 @@
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from tarragonhall_decisions import Deadline, Dropped, PlaceQueue, QueuedCall, Tier
+from tarragonhall_decisions import Deadline, Dropped, QueuedCall, ServiceQueue, Tier
 from tarragonhall_model import Execution, RefusalCode
 
 STARTED = Tier(begins=False, urgency=4)
@@ -17,9 +17,9 @@
 SEED = 11
 
 
-def make_queue() -> PlaceQueue:
+def make_queue() -> ServiceQueue:
     """Return an empty queue."""
-    return PlaceQueue(random.Random(SEED))
+    return ServiceQueue(random.Random(SEED))
 
 
 def call(name: str, org: str = "org-1", **more) -> QueuedCall:
@@ -28,11 +28,11 @@
     return QueuedCall(name, org, f"program-{name}", 1.0, deadline, run_s=0.5, **more)
 
 
-def taken(queue: PlaceQueue, now: float = 0.0) -> list[str]:
+def taken(queue: ServiceQueue, now: float = 0.0) -> list[str]:
     """Return the names of all waiting calls in the order in which they are taken."""
     names = []
     while (popped := queue.take(now)) is not None:
-        queue.placed(popped)
+        queue.on_slot_assigned(popped)
         names.append(popped.call_id)
     return names
 
@@ -82,10 +82,10 @@
     # served in time; queueing it would only delay its caller's retry.
     queue = make_queue()
     queue.offer(call("runs"), STARTED, 0.0)
-    queue.placed(queue.take(0.0))
+    queue.on_slot_assigned(queue.take(0.0))
     for number in range(3):
         queue.offer(call(f"waits-{number}"), STARTED, 0.0)
-    refusal = queue.turn_away(call("new", patience_s=0.05), FIRST_CALL, 0.0)
+    refusal = queue.reject_early(call("new", max_wait_s=0.05), FIRST_CALL, 0.0)
     assert (refusal.code, refusal.execution) == (RefusalCode.OVERLOADED, Execution.NOT_RUN)
     assert 1_500 <= refusal.retry_after_ms <= 3_000
     assert len(queue) == 3
@@ -101,9 +101,9 @@
     order = []
     while (popped := queue.take(0.0)) is not None:
         for _ in range(3):
-            queue.give_back(popped)
+            queue.requeue(popped)
             popped = queue.take(0.0)
-        queue.placed(popped)
+        queue.on_slot_assigned(popped)
         order.append(popped.call_id)
     assert order.index("new") == 7
 
@@ -111,11 +111,11 @@
 def test_retry_times_of_calls_refused_together_are_spread():
     queue = make_queue()
     queue.offer(call("runs"), STARTED, 0.0)
-    queue.placed(queue.take(0.0))
+    queue.on_slot_assigned(queue.take(0.0))
     queue.offer(call("waits"), STARTED, 0.0)
     times = set()
     for number in range(20):
-        refusal = queue.turn_away(call(f"new-{number}", patience_s=0.01), FIRST_CALL, 0.0)
+        refusal = queue.reject_early(call(f"new-{number}", max_wait_s=0.01), FIRST_CALL, 0.0)
         times.add(refusal.retry_after_ms)
     assert max(times) - min(times) >= 250
 
@@ -140,28 +140,28 @@
     queue = make_queue()
     waiting: dict[str, QueuedCall] = {}
     running: list[QueuedCall] = []
-    for number, (step, org, tier, patience_s) in enumerate(steps):
+    for number, (step, org, tier, max_wait_s) in enumerate(steps):
         now = number * 0.1
         dropped = []
         match step:
             case "offer":
-                one = call(f"{org}{number}", org, patience_s=patience_s)
+                one = call(f"{org}{number}", org, max_wait_s=max_wait_s)
                 waiting[one.call_id] = one
                 dropped = queue.offer(one, tier, now)
             case "take":
                 popped = queue.take(now)
                 assert (popped is None) == (not waiting)
                 if popped is not None:
-                    queue.placed(popped)
+                    queue.on_slot_assigned(popped)
                     running.append(waiting.pop(popped.call_id))
             case "end" if running:
                 queue.on_end(running.pop(0))
             case "back" if waiting:
                 one = queue.take(now)
-                queue.give_back(one)
+                queue.requeue(one)
             case "again" if running:
                 one = running.pop()
-                queue.give_back(one)
+                queue.requeue(one)
                 waiting[one.call_id] = one
             case "remove" if waiting:
                 queue.remove(waiting.pop(min(waiting)))
@@ -180,7 +180,7 @@
 # Latency objective of a program: half as long again as on idle servers, plus 0.2 s.
 IDLE_S = TURNS * RUN_S + (TURNS - 1) * TOOL_S
 OBJECTIVE_S = 1.5 * IDLE_S + 0.2
-PATIENCE_S = 0.1
+MAX_WAIT_S = 0.1
 LOAD_SECONDS = 60.0
 # Maximum number of retries of a refused call, each at the time stated in the refusal.
 MAX_RETURNS = 2
@@ -203,7 +203,7 @@
     def __init__(self) -> None:
         self.calls: list[QueuedCall] = []
 
-    def turn_away(self, _one: QueuedCall, _tier: Tier, _now: float) -> None:
+    def reject_early(self, _one: QueuedCall, _tier: Tier, _now: float) -> None:
         """Refuse no call."""
 
     def offer(self, one: QueuedCall, _tier: Tier, _now: float) -> list:
@@ -215,7 +215,7 @@
         """Return the first call."""
         return self.calls.pop(0) if self.calls else None
 
-    def placed(self, _one: QueuedCall) -> None:
+    def on_slot_assigned(self, _one: QueuedCall) -> None:
         """Do nothing."""
 
     def expire(self, _now: float) -> list:
@@ -252,11 +252,11 @@
             Deadline(now + 10.0),
             run_s=RUN_S,
             started=not begins,
-            patience_s=PATIENCE_S if begins else float("inf"),
+            max_wait_s=MAX_WAIT_S if begins else float("inf"),
         )
         self.program_by_call[one.call_id] = program
         tier = FIRST_CALL if begins else STARTED
-        refusal = self.waiting.turn_away(one, tier, now)
+        refusal = self.waiting.reject_early(one, tier, now)
         if refusal is not None:
             self.refuse(now, [Dropped(one, refusal)])
             return
@@ -279,7 +279,7 @@
             one = self.waiting.take(now)
             if one is None:
                 return
-            self.waiting.placed(one)
+            self.waiting.on_slot_assigned(one)
             self.running += 1
             self.at(now + RUN_S * self.rng.uniform(0.5, 1.5), self.end, one)
 
--- a/libs/decisions/tests/silent_servers_tests.py
+++ b/libs/decisions/tests/unresponsive_servers_tests.py
@@ -4,8 +4,8 @@
 
 import random
 
-from tarragonhall_decisions import BackendChooser, CallNeed, SilentServers
-from tarragonhall_decisions._silent_servers import (
+from tarragonhall_decisions import BackendChooser, CallNeed, UnresponsiveServers
+from tarragonhall_decisions._unresponsive_servers import (
     INITIAL_ANSWER_S,
     LOST_CALL_VALID_S,
     UNRESPONSIVE_MS,
@@ -22,33 +22,33 @@
     ]
 
 
-def silent_servers(count: int = 6) -> SilentServers:
-    tracker = SilentServers()
+def unresponsive_servers(count: int = 6) -> UnresponsiveServers:
+    tracker = UnresponsiveServers()
     tracker.set_servers(servers(count))
     return tracker
 
 
 def test_an_overdue_call_counts_and_for_a_while_after_its_caller_left():
     """A hung engine accepts a stream; once its caller has left, the next would go there too."""
-    tracker = silent_servers()
+    tracker = unresponsive_servers()
     tracker.sent(servers()[0], "a", 0.0)
     assert tracker.costs(0.5) == {}
     assert tracker.costs(LATE_S) == {"i-0": UNRESPONSIVE_MS}
-    tracker.left("i-0", "a", 2.0)
+    tracker.on_left("i-0", "a", 2.0)
     assert tracker.costs(2.1) == {"i-0": UNRESPONSIVE_MS}
     assert tracker.costs(2.1 + LOST_CALL_VALID_S) == {}
 
 
 def test_a_call_that_left_in_time_does_not_count():
-    tracker = silent_servers()
+    tracker = unresponsive_servers()
     tracker.sent(servers()[0], "a", 0.0)
-    tracker.left("i-0", "a", 0.3)
+    tracker.on_left("i-0", "a", 0.3)
     assert tracker.costs(LATE_S) == {}
 
 
 def test_a_server_that_answers_other_calls_is_not_unresponsive():
     """One answer in forty is lost on the network; every server would be avoided for it."""
-    tracker = silent_servers()
+    tracker = unresponsive_servers()
     tracker.sent(servers()[0], "lost", 0.0)
     for n in range(6):
         tracker.sent(servers()[0], f"a-{n}", LATE_S)
@@ -60,7 +60,7 @@
     """Five of an engine's calls wait long in a burst while it answers twenty a second. Calls that
     moved elsewhere would be read again there, which delays all of them.
     """
-    tracker = silent_servers(9)
+    tracker = unresponsive_servers(9)
     tracker.set_other_counts({"i-0": 5, "i-3": 7, "i-1": 2}, {"i-0": 20, "i-3": 18, "i-1": 9})
     assert tracker.costs(0.0) == {}
     tracker.set_other_counts({"i-0": 5}, {"i-0": 3})
@@ -84,7 +84,7 @@
 
 def test_a_zone_without_power_is_avoided_after_its_first_unresponsive_servers():
     """Its other servers have had no recent calls; each would lose a call before it is detected."""
-    tracker = silent_servers(9)
+    tracker = unresponsive_servers(9)
     tracker.set_other_counts({"i-1": 2, "i-4": 3}, {"i-0": 4, "i-2": 3})
     costs = tracker.costs(0.0)
     assert {"i-1", "i-4", "i-7"} <= set(costs)
@@ -93,14 +93,14 @@
 
 
 def test_one_hung_server_does_not_count_against_its_zone():
-    tracker = silent_servers(9)
+    tracker = unresponsive_servers(9)
     tracker.set_other_counts({"i-1": 5}, {"i-4": 2})
     assert set(tracker.costs(0.0)) == {"i-1"}
 
 
 def test_a_service_that_is_slow_everywhere_has_no_unresponsive_servers():
     """In an overload every answer takes a second; only calls that take much longer are overdue."""
-    tracker = silent_servers()
+    tracker = unresponsive_servers()
     for n in range(200):
         tracker.sent(servers()[n % 6], f"a-{n}", float(n))
         tracker.answered(f"i-{n % 6}", f"a-{n}", n + 1.0)
@@ -115,6 +115,6 @@
     signs = ServerSigns(silent_by_server={"i-0": 3})
     chooser.on_load_elsewhere(LoadElsewhere(24, {}, signs), 0.0)
     chooser.choose(CallNeed("models"), 0.1)
-    assert chooser.silent.costs(0.1)
+    assert chooser.unresponsive.costs(0.1)
     chooser.choose(CallNeed("models"), 5.0)
-    assert not chooser.silent.costs(5.0)
+    assert not chooser.unresponsive.costs(5.0)
--- a/libs/entry/tarragonhall_entry/_scheduler.py
+++ b/libs/entry/tarragonhall_entry/_scheduler.py
@@ -220,7 +220,7 @@
                 continue
             assigned.append(self._assign(waiting, need, choice.server, now))
         for queued in skipped:
-            queue.give_back(queued)
+            queue.requeue(queued)
         return assigned
 
     def _assign(
--- a/libs/relay/tarragonhall_relay/_admission.py
+++ b/libs/relay/tarragonhall_relay/_admission.py
@@ -132,7 +132,7 @@
     program_started = bool(call.facts.program_id) and not starts_program
     # Clients choose attempt ids, and two calls at a time could carry the same one.
     call_id = f"{call.facts.attempt_id}/{id(call)}"
-    run_s = state.chooser.pace(service).run_of_s(call.route.name)
+    run_s = state.chooser.run_times(service).mean_run_s(call.route.name)
     refusal = state.rates.take(
         call.organisation.org_id, call_id, call.deadline, program_started, run_s
     )
--- a/libs/relay/tarragonhall_relay/_call.py
+++ b/libs/relay/tarragonhall_relay/_call.py
@@ -247,12 +247,14 @@
         now = self._state.monotonic()
         kind = self._admitted.route.name
         run_ms = self._slot.held_ms(now)
-        self._state.chooser.pace(server.service).call_ended(server.server_id, kind, run_ms, now)
+        self._state.chooser.run_times(server.service).call_ended(
+            server.server_id, kind, run_ms, now
+        )
 
     def _record_stream_time(self, server: BackendRecord) -> None:
         """Record how long a stream held its slot, for the choice of servers."""
         run_ms = self._slot.held_ms(self._state.monotonic())
-        self._state.chooser.pace(server.service).stream_ended(run_ms)
+        self._state.chooser.run_times(server.service).stream_ended(run_ms)
 
     def _note_success(self, server: BackendRecord) -> None:
         need = CallNeed(server.service, self._admitted.facts.parts)
@@ -286,7 +288,7 @@
         ):
             return None
         left_s = self._admitted.deadline.at - self._state.monotonic()
-        return self._state.chooser.pace(server.service).patience_s(route.name, left_s)
+        return self._state.chooser.run_times(server.service).answer_timeout_s(route.name, left_s)
 
     def _note_failure(self, server: BackendRecord, reason: str, timed_out: bool = False) -> None:
         self._slot.note_failure()
--- a/libs/relay/tarragonhall_relay/_call_slot.py
+++ b/libs/relay/tarragonhall_relay/_call_slot.py
@@ -178,9 +178,9 @@
     def _make_queued_call(self) -> QueuedCall:
         call = self._call
         begins = call.starts_program
-        patience_s = float("inf")
+        max_wait_s = float("inf")
         if begins and call.route.objective_ms:
-            patience_s = FIRST_CALL_WAIT_FRACTION * call.route.objective_ms / 1000
+            max_wait_s = FIRST_CALL_WAIT_FRACTION * call.route.objective_ms / 1000
         return QueuedCall(
             # Clients choose attempt ids, and two calls at a time could carry the same one.
             f"{call.facts.attempt_id}/{id(self)}",
@@ -188,9 +188,9 @@
             call.facts.program_id,
             1.0,
             call.deadline,
-            run_s=self._state.chooser.pace(self.service).run_ms / 1000,
+            run_s=self._state.chooser.run_times(self.service).run_ms / 1000,
             started=not begins,
-            patience_s=patience_s,
+            max_wait_s=max_wait_s,
         )
 
     def _no_slot(self, refusal: Refusal) -> Rejection:
--- a/libs/relay/tarragonhall_relay/_slots.py
+++ b/libs/relay/tarragonhall_relay/_slots.py
@@ -12,8 +12,8 @@
     BackendChooser,
     CallNeed,
     Dropped,
-    PlaceQueue,
     QueuedCall,
+    ServiceQueue,
     Tier,
 )
 from tarragonhall_model import BackendRecord, Refusal
@@ -57,7 +57,7 @@
         self._rng = rng
         self._monotonic = monotonic
         self._polling: set[str] = set()
-        self._queue_by_service: dict[str, PlaceQueue] = {}
+        self._queue_by_service: dict[str, ServiceQueue] = {}
         self._waiter_by_id: dict[str, _Waiter] = {}
 
     def waiting(self) -> int:
@@ -66,7 +66,7 @@
 
     def reject_early(self, service: str, call: QueuedCall, tier: Tier) -> Refusal | None:
         """Return the refusal of a call that must not start now, before resources are used on it."""
-        return self._queue(service).turn_away(call, tier, self._monotonic())
+        return self._queue(service).reject_early(call, tier, self._monotonic())
 
     def acquire(self, call: QueuedCall, tier: Tier, need: CallNeed) -> Slot | Refusal:
         """Wait for a slot; return it, or the refusal if none comes in time.
@@ -84,7 +84,7 @@
         self._leave_server(slot)
         waiter = _Waiter(need)
         self._waiter_by_id[slot.queued.call_id] = waiter
-        self._queue(need.service).give_back(slot.queued)
+        self._queue(need.service).requeue(slot.queued)
         return self._wait(slot.queued, waiter)
 
     def release(self, slot: Slot) -> None:
@@ -96,10 +96,14 @@
 
     def note_response(self, slot: Slot) -> None:
         """Record that the server of a slot has begun to respond."""
-        self._chooser.silent.answered(slot.server.server_id, slot.queued.call_id, self._monotonic())
+        self._chooser.unresponsive.answered(
+            slot.server.server_id, slot.queued.call_id, self._monotonic()
+        )
 
     def _leave_server(self, slot: Slot) -> None:
-        self._chooser.silent.left(slot.server.server_id, slot.queued.call_id, self._monotonic())
+        self._chooser.unresponsive.on_left(
+            slot.server.server_id, slot.queued.call_id, self._monotonic()
+        )
         self._chooser.ended(slot.server.server_id, slot.started_at)
 
     def _wait(self, call: QueuedCall, waiter: _Waiter) -> Slot | Refusal:
@@ -143,14 +147,14 @@
                 # If no server has a free slot for a call that may go anywhere, none has for others.
                 break
         for call in skipped:
-            queue.give_back(call)
+            queue.requeue(call)
 
     def _grant(
-        self, call: QueuedCall, server: BackendRecord, queue: PlaceQueue, now: float
+        self, call: QueuedCall, server: BackendRecord, queue: ServiceQueue, now: float
     ) -> None:
-        self._chooser.silent.sent(server, call.call_id, now)
+        self._chooser.unresponsive.sent(server, call.call_id, now)
         self._chooser.started(server.server_id, now)
-        queue.placed(call)
+        queue.on_slot_assigned(call)
         self._waiter_by_id.pop(call.call_id).resolve(Slot(server, now, call))
 
     def _reject(self, dropped: list[Dropped]) -> None:
@@ -170,9 +174,9 @@
         finally:
             self._polling.discard(service)
 
-    def _queue(self, service: str) -> PlaceQueue:
+    def _queue(self, service: str) -> ServiceQueue:
         queue = self._queue_by_service.get(service)
         if queue is None:
-            queue = PlaceQueue(self._rng)
+            queue = ServiceQueue(self._rng)
             self._queue_by_service[service] = queue
         return queue
--- a/libs/relay/tests/calls_tests.py
+++ b/libs/relay/tests/calls_tests.py
@@ -227,7 +227,7 @@
 def record_call_times(relay, route="look"):
     """Record 40 calls of ten milliseconds, so that the relay knows how long such calls take."""
     for _ in range(40):
-        relay.state.chooser.pace("desk").call_ended("i-0", route, 10.0, 0.0)
+        relay.state.chooser.run_times("desk").call_ended("i-0", route, 10.0, 0.0)
 
 
 def test_idempotent_call_with_lost_response_is_sent_to_another_server(relay):
