--- a/libs/control/tarragonhall_control/_backend_service.py
+++ b/libs/control/tarragonhall_control/_backend_service.py
@@ -73,7 +73,7 @@
 
     def announce(self, record: BackendRecord) -> None:
         """Process a server's announcement; return once the reachable entries were notified."""
-        changed = self._registry.hear(record, self._member.context.monotonic())
+        changed = self._registry.on_announcement(record, self._member.context.monotonic())
         if changed is not None:
             self._queue_change(changed)
             self._forward_to_members(changed)
@@ -82,7 +82,7 @@
     def leave(self, server_id: str, born_ms: int | None) -> None:
         """Process a server's shutdown notice; return once the reachable entries were notified."""
         now = self._member.context.monotonic()
-        gone = self._registry.leave(server_id, born_ms, now)
+        gone = self._registry.mark_gone(server_id, born_ms, now)
         self._queue_change(gone)
         self._forward_to_members(gone)
         self._changes_sent.wait()
@@ -137,9 +137,9 @@
         now = self._member.context.monotonic()
         record = message.record
         if record.gone:
-            changed = self._registry.leave(record.server_id, record.born_ms or None, now)
+            changed = self._registry.mark_gone(record.server_id, record.born_ms or None, now)
         else:
-            changed = self._registry.hear(record, now)
+            changed = self._registry.on_announcement(record, now)
         if changed is not None:
             self._queue_change(changed)
             self._changes_sent.wait()
--- a/libs/decisions/tarragonhall_decisions/__init__.py
+++ b/libs/decisions/tarragonhall_decisions/__init__.py
@@ -42,11 +42,11 @@
     ),
     "_home_regions": (
         "home_zones",
-        "stays_home",
+        "stays_in_regions",
     ),
     "_load_digest": (
         "LoadDigest",
-        "LoadTo",
+        "AddressedLoad",
     ),
     "_model_orders": (
         "EngineState",
@@ -61,7 +61,7 @@
     ),
     "_quarantine": (
         "Quarantine",
-        "charged_by_crash",
+        "suspects_of_crash",
     ),
     "_rate": (
         "Ask",
--- a/libs/decisions/tarragonhall_decisions/_crash_suspects.py
+++ b/libs/decisions/tarragonhall_decisions/_crash_suspects.py
@@ -37,7 +37,7 @@
     def __init__(self) -> None:
         self._by_fingerprint: OrderedDict[str, _Suspect] = OrderedDict()
 
-    def broke(self, fingerprint: str, now: float) -> None:
+    def on_broken_run(self, fingerprint: str, now: float) -> None:
         """Record that a run of the request ended without an answer, here or at another entry."""
         suspect = self._by_fingerprint.setdefault(fingerprint, _Suspect(0, now))
         if now - suspect.last_broken_at > FORGET_S:
@@ -48,11 +48,11 @@
         while len(self._by_fingerprint) > MAX_SUSPECTS:
             self._by_fingerprint.popitem(last=False)
 
-    def answered(self, fingerprint: str) -> None:
+    def on_response(self, fingerprint: str) -> None:
         """Record that a server answered the request and survived it."""
         self._by_fingerprint.pop(fingerprint, None)
 
-    def is_barred(self, fingerprint: str, now: float) -> bool:
+    def is_quarantined(self, fingerprint: str, now: float) -> bool:
         """Return whether the request must not reach another server."""
         suspect = self._by_fingerprint.get(fingerprint)
         if suspect is None or now - suspect.last_broken_at > FORGET_S:
--- a/libs/decisions/tarragonhall_decisions/_home_regions.py
+++ b/libs/decisions/tarragonhall_decisions/_home_regions.py
@@ -21,7 +21,7 @@
     return frozenset(zone for zone, region in region_by_zone.items() if region in regions)
 
 
-def stays_home(
+def stays_in_regions(
     store_zones: Iterable[str],
     homes: frozenset[str],
     own_zone: str,
--- a/libs/decisions/tarragonhall_decisions/_load_digest.py
+++ b/libs/decisions/tarragonhall_decisions/_load_digest.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class LoadTo:
+class AddressedLoad:
     """A message for one entry; if it is lost, the next one replaces it."""
 
     address: str
@@ -103,12 +103,12 @@
         load = _Load(message.running_by_server, message.signs, message.entries, now)
         self._load_by_zone[message.availability_zone] = load
 
-    def announce(self, own: dict[str, int], signs: ServerSigns = NO_SIGNS) -> list[LoadTo]:
+    def announce(self, own: dict[str, int], signs: ServerSigns = NO_SIGNS) -> list[AddressedLoad]:
         """Return the messages with this entry's own load."""
         message = EntryLoad(self._own_record.entry_id, own, signs)
         recipients = self._entries if self.is_direct() else self._own_collectors()
         return [
-            LoadTo(one.address, message)
+            AddressedLoad(one.address, message)
             for one in recipients
             if one.entry_id != self._own_record.entry_id
         ]
@@ -122,7 +122,7 @@
 
     def digests(
         self, own: dict[str, int], now: float, signs: ServerSigns = NO_SIGNS
-    ) -> list[LoadTo]:
+    ) -> list[AddressedLoad]:
         """Return what a collector sends: its zone's sum, and the others' load to each entry."""
         zone = self._zone_sum(own, signs, now)
         messages = self._to_other_zones(zone) if self._is_zone_sum_due(now) else []
@@ -133,7 +133,9 @@
             load = self._load_by_entry.get(entry.entry_id)
             running = load.running_by_server if load is not None else {}
             signs_of_entry = load.signs if load is not None else NO_SIGNS
-            messages.append(LoadTo(entry.address, _excluding(total, running, signs_of_entry)))
+            messages.append(
+                AddressedLoad(entry.address, _excluding(total, running, signs_of_entry))
+            )
         return messages
 
     def _is_zone_sum_due(self, now: float) -> bool:
@@ -143,7 +145,7 @@
         self._zones_sent_at = now
         return True
 
-    def _to_other_zones(self, zone: _Load) -> list[LoadTo]:
+    def _to_other_zones(self, zone: _Load) -> list[AddressedLoad]:
         """Return the zone's sum for one collector of each other zone, spread by rank."""
         message = ZoneLoad(
             self._own_record.availability_zone,
@@ -156,7 +158,7 @@
         messages = []
         for name, collectors in self._collectors_by_zone.items():
             if name != self._own_record.availability_zone:
-                messages.append(LoadTo(collectors[rank % len(collectors)].address, message))
+                messages.append(AddressedLoad(collectors[rank % len(collectors)].address, message))
         return messages
 
     def _own_collectors(self) -> list[EntryRecord]:
--- a/libs/decisions/tarragonhall_decisions/_quarantine.py
+++ b/libs/decisions/tarragonhall_decisions/_quarantine.py
@@ -36,7 +36,7 @@
     _by_fingerprint: dict[str, _Suspect] = field(default_factory=dict)
     _running_by_server: dict[str, list[str]] = field(default_factory=dict)
 
-    def learn(self, fingerprint: str, crashes: int, now: float) -> None:
+    def merge_crashes(self, fingerprint: str, crashes: int, now: float) -> None:
         """Store the journal's count of crashes for a request."""
         if crashes <= 0:
             return
@@ -91,14 +91,14 @@
         all the running requests become suspects.
         """
         running = list(dict.fromkeys(self._running_by_server.pop(server_id, [])))
-        charged = charged_by_crash(
+        suspects = suspects_of_crash(
             {item: self._crashes(item, now) for item in running},
         )
-        for item in charged:
+        for item in suspects:
             suspect = self._by_fingerprint.setdefault(item, _Suspect())
             suspect.crashes += 1
             suspect.last_crash = now
-        return charged
+        return suspects
 
     def _crashes(self, fingerprint: str, now: float) -> int:
         suspect = self._current_suspect(fingerprint, now)
@@ -112,7 +112,7 @@
         return suspect
 
 
-def charged_by_crash(crashes_by_fingerprint: dict[str, int]) -> list[str]:
+def suspects_of_crash(crashes_by_fingerprint: dict[str, int]) -> list[str]:
     """Return the requests running on a crashed server against which the crash counts."""
     suspects = [item for item, crashes in crashes_by_fingerprint.items() if crashes > 0]
     return suspects or list(crashes_by_fingerprint)
--- a/libs/decisions/tarragonhall_decisions/_registry.py
+++ b/libs/decisions/tarragonhall_decisions/_registry.py
@@ -59,7 +59,7 @@
         self.version = 0
         self._known_by_id: dict[str, _Announced] = {}
 
-    def hear(self, record: BackendRecord, now: float) -> BackendRecord | None:
+    def on_announcement(self, record: BackendRecord, now: float) -> BackendRecord | None:
         """Store an announcement; return it if followers need an update, else None."""
         known = self._known_by_id.get(record.server_id)
         if known is None:
@@ -73,7 +73,7 @@
         known.received_at = now
         return self._changed(record) if changed else None
 
-    def leave(self, server_id: str, born_ms: int | None, now: float) -> BackendRecord:
+    def mark_gone(self, server_id: str, born_ms: int | None, now: float) -> BackendRecord:
         """Mark a server as gone after its leave notice; `born_ms` names its incarnation."""
         known = self._known_by_id.get(server_id)
         if known is None:
--- a/libs/decisions/tests/quarantine_tests.py
+++ b/libs/decisions/tests/quarantine_tests.py
@@ -60,7 +60,7 @@
 def test_crash_counts_of_the_journal_refuse_a_request():
     """The caller sends the request again through another entry, which saw none of the crashes."""
     quarantine = Quarantine()
-    quarantine.learn("a", 2, 0.0)
+    quarantine.merge_crashes("a", 2, 0.0)
     assert quarantine.refusal("a", 1.0) is not None
 
 
@@ -69,7 +69,7 @@
     the cause; if the crash counted against it, it would be refused after one more.
     """
     quarantine = Quarantine()
-    quarantine.learn("culprit", 1, 0.0)
+    quarantine.merge_crashes("culprit", 1, 0.0)
     quarantine.on_start("culprit", "s0")
     quarantine.on_start("bystander", "s0")
     assert quarantine.on_crash("s0", 1.0) == ["culprit"]
--- a/libs/decisions/tests/registry_tests.py
+++ b/libs/decisions/tests/registry_tests.py
@@ -18,8 +18,8 @@
     # Two announcements arrive in reverse order, the later one of a draining server. If the earlier
     # one won, new calls would go there and be cut off when it exits.
     registry = Registry()
-    registry.hear(replace(SERVER, sequence=6, draining=True), 0.0)
-    assert registry.hear(replace(SERVER, sequence=5), 0.1) is None
+    registry.on_announcement(replace(SERVER, sequence=6, draining=True), 0.0)
+    assert registry.on_announcement(replace(SERVER, sequence=5), 0.1) is None
     assert registry.records(99.0) == [replace(SERVER, sequence=6, draining=True)]
 
 
@@ -27,17 +27,17 @@
     # A server crashes and restarts under its old id, so its sequence begins at one. Taken for an
     # old announcement, it would keep the server from getting calls.
     registry = Registry()
-    registry.hear(replace(SERVER, sequence=50), 0.0)
+    registry.on_announcement(replace(SERVER, sequence=50), 0.0)
     restarted = replace(SERVER, born_ms=2_000, sequence=1)
-    assert registry.hear(restarted, 1.0) == restarted
+    assert registry.on_announcement(restarted, 1.0) == restarted
 
 
 def test_a_late_announcement_of_an_earlier_incarnation_does_not_undo_the_restart():
     # A partition delays an announcement of the earlier incarnation until after the restart.
     registry = Registry()
     restarted = replace(SERVER, born_ms=2_000, sequence=1)
-    registry.hear(restarted, 0.0)
-    assert registry.hear(replace(SERVER, sequence=51), 0.1) is None
+    registry.on_announcement(restarted, 0.0)
+    assert registry.on_announcement(replace(SERVER, sequence=51), 0.1) is None
     assert registry.records(99.0) == [restarted]
 
 
@@ -45,9 +45,9 @@
     # A server sends a leave notice and exits. A late announcement must not send callers to an
     # address where nothing listens.
     registry = Registry()
-    registry.hear(SERVER, 0.0)
-    assert registry.leave("i-1", None, 0.1).gone
-    assert registry.hear(replace(SERVER, sequence=9), 0.2) is None
+    registry.on_announcement(SERVER, 0.0)
+    assert registry.mark_gone("i-1", None, 0.1).gone
+    assert registry.on_announcement(replace(SERVER, sequence=9), 0.2) is None
     assert registry.records(99.0)[0].gone
 
 
@@ -55,12 +55,12 @@
     # A server is cut off from the control members alone. Removing it would take away capacity that
     # entries still reach.
     registry = Registry()
-    registry.hear(SERVER, 0.0)
+    registry.on_announcement(SERVER, 0.0)
     assert registry.tick(UNREACHABLE_AFTER_S - 0.1) == []
     assert registry.tick(UNREACHABLE_AFTER_S + 0.1) == [replace(SERVER, heard=False)]
     assert registry.tick(UNREACHABLE_AFTER_S + 0.2) == []
     reachable_again = replace(SERVER, sequence=5)
-    assert registry.hear(reachable_again, UNREACHABLE_AFTER_S + 1) == reachable_again
+    assert registry.on_announcement(reachable_again, UNREACHABLE_AFTER_S + 1) == reachable_again
     registry.tick(FORGET_S + UNREACHABLE_AFTER_S + 2)
     assert registry.records(99.0) == []
 
@@ -87,7 +87,7 @@
     table = BackendTable()
     table.replace_source("a", [SERVER])
     other = Registry()
-    table.update_source("b", [other.leave("i-1", None, 0.0)])
+    table.update_source("b", [other.mark_gone("i-1", None, 0.0)])
     assert table.by_id["i-1"].gone
 
 
@@ -113,26 +113,26 @@
     arrivals = [announcements[pick] for pick in picks]
     registry = Registry()
     for record in rng.sample(arrivals, len(arrivals)):
-        registry.hear(record, 0.0)
+        registry.on_announcement(record, 0.0)
     assert registry.records(99.0) == [announcements[max(picks)]]
 
 
 def test_followers_are_notified_of_a_server_that_turns_cold():
     """Without the update, entries would send more than the server can run while it warms up."""
     registry = Registry()
-    registry.hear(replace(SERVER, warmup_ms=0), 0.0)
+    registry.on_announcement(replace(SERVER, warmup_ms=0), 0.0)
     cold = replace(SERVER, sequence=5, warmup_ms=3_000)
-    assert registry.hear(cold, 1.0) == cold
+    assert registry.on_announcement(cold, 1.0) == cold
     # The rest shrinks with time, which is no change: thousands of servers announce it each second.
-    assert registry.hear(replace(SERVER, sequence=6, warmup_ms=1_800), 2.2) is None
+    assert registry.on_announcement(replace(SERVER, sequence=6, warmup_ms=1_800), 2.2) is None
     again = replace(SERVER, sequence=7, warmup_ms=3_000)
-    assert registry.hear(again, 3.0) == again
+    assert registry.on_announcement(again, 3.0) == again
 
 
 def test_records_hold_the_remaining_warmup():
     """The first announcement's value would make a new follower treat it as cold too long."""
     registry = Registry()
-    registry.hear(replace(SERVER, warmup_ms=3_000), 0.0)
+    registry.on_announcement(replace(SERVER, warmup_ms=3_000), 0.0)
     assert registry.records(1.0)[0].warmup_ms == 2_000
     assert registry.records(4.0)[0].warmup_ms == 0
 
--- a/libs/entry/tarragonhall_entry/_runner.py
+++ b/libs/entry/tarragonhall_entry/_runner.py
@@ -263,7 +263,7 @@
         self, call: Call, request_fingerprint: str, known: Quarantined
     ) -> Refusal | None:
         now = self._context.monotonic()
-        self._scheduler.quarantine.learn(request_fingerprint, known.crashes, now)
+        self._scheduler.quarantine.merge_crashes(request_fingerprint, known.crashes, now)
         if not known.quarantined:
             return None
         self._context.metrics.count("entry.quarantined")
--- a/libs/relay/tarragonhall_relay/_admission.py
+++ b/libs/relay/tarragonhall_relay/_admission.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 import structlog
-from tarragonhall_decisions import Deadline, home_zones, stays_home
+from tarragonhall_decisions import Deadline, home_zones, stays_in_regions
 from tarragonhall_model import (
     InputError,
     Refusal,
@@ -106,7 +106,7 @@
         limit_ms = min(limit_ms, facts.deadline_ms)
     deadline = Deadline(arrived_at + limit_ms / 1000)
     request_fingerprint = _fingerprint(request, organisation)
-    if state.crash_suspects.is_barred(request_fingerprint, state.monotonic()):
+    if state.crash_suspects.is_quarantined(request_fingerprint, state.monotonic()):
         message = "the request crashed every backend server that ran it"
         return Rejection(
             STATUS_UNAVAILABLE, RefusalCode.QUARANTINED.value, message, QUARANTINED_RETRY_S
@@ -169,7 +169,9 @@
     """Return whether the turns of a route are stored in its home regions only."""
     if not route.retained:
         return True
-    return stays_home(state.store_zones(), homes, state.availability_zone, state.region_by_zone)
+    return stays_in_regions(
+        state.store_zones(), homes, state.availability_zone, state.region_by_zone
+    )
 
 
 def _home_region_rejection(message: str) -> Rejection:
--- a/libs/relay/tarragonhall_relay/_call.py
+++ b/libs/relay/tarragonhall_relay/_call.py
@@ -259,7 +259,7 @@
     def _note_success(self, server: BackendRecord) -> None:
         need = CallNeed(server.service, self._admitted.facts.parts)
         self._state.chooser.answered(server.server_id, need)
-        self._state.crash_suspects.answered(self._admitted.fingerprint)
+        self._state.crash_suspects.on_response(self._admitted.fingerprint)
 
     def _note_not_run(self, server: BackendRecord, outcome: NotRun) -> None:
         if outcome.full:
@@ -295,7 +295,9 @@
         if timed_out:
             self._state.retry_budget.take()
         else:
-            self._state.crash_suspects.broke(self._admitted.fingerprint, self._state.monotonic())
+            self._state.crash_suspects.on_broken_run(
+                self._admitted.fingerprint, self._state.monotonic()
+            )
             self._state.report_suspect(self._admitted.fingerprint)
         self._state.metrics.count("relay.may_have_run")
         log.info(
--- a/libs/relay/tarragonhall_relay/_followers.py
+++ b/libs/relay/tarragonhall_relay/_followers.py
@@ -8,7 +8,7 @@
 
 import eventlet
 import structlog
-from tarragonhall_decisions import BackendTable, LoadDigest, LoadTo
+from tarragonhall_decisions import AddressedLoad, BackendTable, LoadDigest
 from tarragonhall_model import (
     BackendsChanged,
     EntryLoad,
@@ -220,9 +220,9 @@
         )
 
     def _on_suspect(self, _link: Link, message: SuspectCall) -> None:
-        self._state.crash_suspects.broke(message.fingerprint, self._context.monotonic())
+        self._state.crash_suspects.on_broken_run(message.fingerprint, self._context.monotonic())
 
-    def _send_all(self, messages: list[LoadTo]) -> None:
+    def _send_all(self, messages: list[AddressedLoad]) -> None:
         for one in messages:
             self._send(one.address, one.message)
 
