--- a/libs/decisions/tarragonhall_decisions/__init__.py
+++ b/libs/decisions/tarragonhall_decisions/__init__.py
@@ -64,12 +64,12 @@
         "suspects_of_crash",
     ),
     "_rate": (
-        "Ask",
+        "TokenRequest",
         "LEASE_S",
         "OWNERSHIP_S",
         "RateLimiter",
         "RateOutput",
-        "Tell",
+        "PeerMessage",
     ),
     "_rate_holder": (
         "Admitted",
--- a/libs/decisions/tarragonhall_decisions/_owned_buckets.py
+++ b/libs/decisions/tarragonhall_decisions/_owned_buckets.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Tell:
+class PeerMessage:
     """Send a message to a peer entry; losing it costs tokens, never correctness."""
 
     entry_id: str
@@ -101,7 +101,7 @@
         self._earlier.on_view(view, self._is_member, now)
         self._shorten_waits()
 
-    def on_entries_changed(self, view: View, now: float) -> list[Tell]:
+    def on_entries_changed(self, view: View, now: float) -> list[PeerMessage]:
         """Apply a view with other entries; return the hand-overs to the next owners."""
         missed = self._missed_change(view)
         skipped = view.entries_version > self._entries_version + 1
@@ -210,8 +210,8 @@
             owned.bucket = Bucket(rate, 0.0, owned.refilled_from)
         return owned
 
-    def _hand_over(self, now: float) -> list[Tell]:
-        outputs: list[Tell] = []
+    def _hand_over(self, now: float) -> list[PeerMessage]:
+        outputs: list[PeerMessage] = []
         for org_id, owned in list(self._owned_by_org.items()):
             owner = self._owners.owner(org_id)
             if owner == self._entry_id and self._is_member:
@@ -222,5 +222,5 @@
             outstanding = owned.bucket.outstanding(now)
             level = owned.bucket.level
             message = HandOver(org_id, level, self._entries_version, outstanding)
-            outputs.append(Tell(owner, message))
+            outputs.append(PeerMessage(owner, message))
         return outputs
--- a/libs/decisions/tarragonhall_decisions/_rate.py
+++ b/libs/decisions/tarragonhall_decisions/_rate.py
@@ -53,7 +53,7 @@
 from tarragonhall_decisions._bucket_owners import BucketOwners
 from tarragonhall_decisions._deadlines import Deadline
 from tarragonhall_decisions._earlier_owners import EarlierOwners
-from tarragonhall_decisions._owned_buckets import OwnedBuckets, Tell
+from tarragonhall_decisions._owned_buckets import OwnedBuckets, PeerMessage
 from tarragonhall_decisions._rate_holder import (
     MIN_PAUSE_S,
     REQUEST_TIMEOUT_S,
@@ -64,7 +64,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Ask:
+class TokenRequest:
     """Send a request to a peer entry and pass its reply, with this `sent_at`, to `on_reply`.
 
     If the request cannot be sent or is not answered, call `on_no_reply` instead.
@@ -84,7 +84,7 @@
 # Tokens granted at the end of a lease are spent or void after this time.
 OWNERSHIP_S = LEASE_S + SLICE_VALID_S
 
-RateOutput = Admitted | RateRefused | Ask | Tell
+RateOutput = Admitted | RateRefused | TokenRequest | PeerMessage
 
 
 class RateLimiter:
@@ -225,13 +225,13 @@
         sent_at: float,
         now: float,
     ) -> list[RateOutput]:
-        """Process an entry's reply to an `Ask`."""
+        """Process an entry's reply to a `TokenRequest`."""
         holder = self._holder(org_id)
         holder.on_reply(reply, entry_id, sent_at, now)
         return self._process(org_id, holder, now)
 
     def on_no_reply(self, org_id: str, sent_at: float, now: float) -> None:
-        """Record that an `Ask` will get no reply; tokens granted for it expire by themselves."""
+        """Record that a `TokenRequest` gets no reply; tokens granted for it expire on their own."""
         if org_id in self._holder_by_org:
             self._holder_by_org[org_id].on_no_reply(sent_at, now)
 
@@ -282,7 +282,7 @@
         )
         holder.requested_at = now
         if owner != self.entry_id:
-            return [Ask(owner, org_id, message, now)]
+            return [TokenRequest(owner, org_id, message, now)]
         holder.on_reply(self._grant(message, now), owner, now, now)
         outputs: list[RateOutput] = list(holder.serve(now))
         outputs.extend(holder.reject_expired(now))
@@ -295,7 +295,7 @@
             if ended.owner == self.entry_id:
                 self.handle(message, now)
                 continue
-            outputs.append(Tell(ended.owner, message))
+            outputs.append(PeerMessage(ended.owner, message))
         holder.ended = []
         holder.report_at = None
         return outputs
--- a/libs/decisions/tarragonhall_decisions/_rate_shares.py
+++ b/libs/decisions/tarragonhall_decisions/_rate_shares.py
@@ -167,13 +167,13 @@
     def on_reply(
         self, entry_id: str, share: str, reply: TokensGranted | NotOwner, sent_at: float, now: float
     ) -> list[RateOutput]:
-        """Process an entry's reply to an `Ask`."""
+        """Process an entry's reply to a `TokenRequest`."""
         return self._process_outputs(
             self._limiter.on_reply(entry_id, share, reply, sent_at, now), now
         )
 
     def on_no_reply(self, share: str, sent_at: float, now: float) -> list[RateOutput]:
-        """Record that an `Ask` will get no reply; tokens granted for it expire by themselves."""
+        """Record that a `TokenRequest` gets no reply; tokens granted for it expire on their own."""
         self._limiter.on_no_reply(share, sent_at, now)
         return self._process_outputs([], now)
 
--- a/libs/decisions/tests/conftest.py
+++ b/libs/decisions/tests/conftest.py
@@ -13,12 +13,12 @@
 from tarragonhall_decisions import (
     OWNERSHIP_S,
     Admitted,
-    Ask,
     Deadline,
+    PeerMessage,
     RateLimiter,
     RateRefused,
     RateShares,
-    Tell,
+    TokenRequest,
 )
 from tarragonhall_model import EntryRecord, OrganisationPolicy, Rate, View
 from tarragonhall_state._views import Views
@@ -215,9 +215,9 @@
                     self.waits.append(self.now - self.offered_at[call_id])
                 case RateRefused():
                     self.refused.append(output)
-                case Ask():
-                    self._ask(entry_id, limiter, output)
-                case Tell(peer, message):
+                case TokenRequest():
+                    self._request_tokens(entry_id, limiter, output)
+                case PeerMessage(peer, message):
                     self._deliver(peer, lambda peer, m=message: peer.handle(m, self.now))
 
     def _return_token(self, entry_id: str) -> None:
@@ -232,18 +232,20 @@
         if delay is not None:
             self.at(self.now + delay, lambda: self._run_on(entry_id, action))
 
-    def _ask(self, entry_id: str, limiter: RateLimiter, ask: Ask) -> None:
+    def _request_tokens(self, entry_id: str, limiter: RateLimiter, request: TokenRequest) -> None:
         def answer(owner: RateLimiter) -> None:
-            reply = owner.handle(ask.message, self.now)
+            reply = owner.handle(request.message, self.now)
 
             def take(asker: RateLimiter) -> list:
                 if asker is not limiter:
                     return []
-                return asker.on_reply(ask.entry_id, ask.org_id, reply, ask.sent_at, self.now)
+                return asker.on_reply(
+                    request.entry_id, request.org_id, reply, request.sent_at, self.now
+                )
 
             self._deliver(entry_id, take)
 
-        self._deliver(ask.entry_id, answer)
+        self._deliver(request.entry_id, answer)
 
     def _heartbeat(self, entry_id: str, limiter: RateLimiter) -> None:
         if self.limiter_by_id.get(entry_id) is not limiter:
--- a/libs/decisions/tests/rate_owner_tests.py
+++ b/libs/decisions/tests/rate_owner_tests.py
@@ -5,7 +5,14 @@
 import random
 
 import pytest
-from tarragonhall_decisions import Admitted, Ask, Deadline, RateLimiter, RateRefused, Tell
+from tarragonhall_decisions import (
+    Admitted,
+    Deadline,
+    PeerMessage,
+    RateLimiter,
+    RateRefused,
+    TokenRequest,
+)
 from tarragonhall_model import (
     EntryRecord,
     HandOver,
@@ -183,7 +190,7 @@
     owner = running_owner()
     assert request_tokens(owner, 1, 20.0) == 10.0
     (sent,) = owner.on_view(view(2, OTHERS), 20.0)
-    assert isinstance(sent, Tell)
+    assert isinstance(sent, PeerMessage)
     assert sent.entry_id == NEXT
     new = limiter(NEXT)
     new.on_view(view(1, IDS), 0.0)
@@ -213,7 +220,7 @@
     owner.renew_lease(19.9)
     assert request_tokens(owner, 1, 20.0, 1.0) == 1.0
     late = View(3, _entries(OTHERS, incarnation="2"), [], entries_version=13, owners_version=6)
-    assert not [one for one in owner.on_view(late, 21.0) if isinstance(one, Tell)]
+    assert not [one for one in owner.on_view(late, 21.0) if isinstance(one, PeerMessage)]
 
 
 def test_removed_owner_hands_over_at_once():
@@ -223,7 +230,7 @@
     owner.renew_lease(19.9)
     assert request_tokens(owner, 1, 20.0, 1.0) == 1.0
     next_view = View(2, _entries(OTHERS), [], entries_version=12, owners_version=6)
-    sent = [one for one in owner.on_view(next_view, 21.0) if isinstance(one, Tell)]
+    sent = [one for one in owner.on_view(next_view, 21.0) if isinstance(one, PeerMessage)]
     assert [(one.entry_id, one.message.entries_version) for one in sent] == [(NEXT, 12)]
 
 
@@ -258,7 +265,7 @@
     entry.set_policy(OrganisationPolicy(org_id, org_id, rate=RATE), now)
     outputs = entry.offer(org_id, call_id, Deadline(now + 1e6), True, now)
     entry.withdraw(org_id, call_id)
-    asked = [output.entry_id for output in outputs if isinstance(output, Ask)]
+    asked = [output.entry_id for output in outputs if isinstance(output, TokenRequest)]
     return asked or [entry.entry_id]
 
 
@@ -290,7 +297,7 @@
     """Deliver a holder's requests to the owner, and its replies."""
     answers = []
     for output in outputs:
-        if isinstance(output, Ask):
+        if isinstance(output, TokenRequest):
             reply = owner.handle(output.message, now)
             answers += holder.on_reply(output.entry_id, ORG, reply, output.sent_at, now)
     return answers
--- a/libs/decisions/tests/rate_shares_tests.py
+++ b/libs/decisions/tests/rate_shares_tests.py
@@ -8,7 +8,7 @@
 from hypothesis import HealthCheck, example, given, settings
 from hypothesis import strategies as st
 from rate_load import RATES_AND_FAULTS, inject_faults, offer_evenly, worst_excess
-from tarragonhall_decisions import Ask, Deadline, RateLimiter, RateShares, share_ids
+from tarragonhall_decisions import Deadline, RateLimiter, RateShares, TokenRequest, share_ids
 from tarragonhall_model import OrganisationPolicy, Rate
 
 ORG = "org-1"
@@ -150,7 +150,7 @@
     shares.set_policy(OrganisationPolicy(ORG, ORG, rate=RATE), 0.0)
     shares.set_policy(OrganisationPolicy(ORG, ORG, rate=Rate(1.0, 1.0)), 1.0)
     asked = shares.offer(ORG, "call", Deadline(9.0), True, 1.0)
-    assert {ask.org_id for ask in asked if isinstance(ask, Ask)} <= set(
+    assert {request.org_id for request in asked if isinstance(request, TokenRequest)} <= set(
         share_ids(ORG, Rate(1.0, 1.0))
     )
 
--- a/libs/entry/tarragonhall_entry/_follower.py
+++ b/libs/entry/tarragonhall_entry/_follower.py
@@ -52,7 +52,7 @@
         super().confirm(fresh, sent_at)
         # The lease on granting tokens may be extended only with the freshness lease.
         if self._fresh_since is not None:
-            self._rates.on_fresh(self._fresh_since)
+            self._rates.renew_lease(self._fresh_since)
 
     def _update_links(self, before: View) -> None:
         """Dial new servers now, so that their first call need not wait, and drop removed ones."""
--- a/libs/rates/tarragonhall_rates/_rates.py
+++ b/libs/rates/tarragonhall_rates/_rates.py
@@ -8,15 +8,15 @@
 from tarragonhall_decisions import (
     LEASE_S,
     Admitted,
-    Ask,
     Deadline,
+    PeerMessage,
     RateLimiter,
     RateOutput,
     RateRefused,
     RateReserve,
     RateShares,
     RateSlack,
-    Tell,
+    TokenRequest,
 )
 from tarragonhall_model import (
     HandOver,
@@ -95,7 +95,7 @@
         self._perform(self._limiter.on_view(view, self._context.monotonic()))
         self._loop_wakeup.release()
 
-    def on_fresh(self, sent_at: float) -> None:
+    def renew_lease(self, sent_at: float) -> None:
         """Extend the lease after control confirmed the view.
 
         `sent_at` is when the confirmed heartbeat was sent.
@@ -110,7 +110,7 @@
         """Return the entry that owns the organisation's bucket in the current view."""
         return self._limiter.owner_of(org_id)
 
-    def is_dry(self, org_id: str) -> bool:
+    def is_exhausted(self, org_id: str) -> bool:
         """Return whether the organisation is known to have used up its rate."""
         return self._limiter.is_exhausted(org_id, self._context.monotonic())
 
@@ -145,7 +145,7 @@
         self._context.metrics.timing("rates.wait_ms", waited_ms)
         return result
 
-    def give_back(self, org_id: str) -> None:
+    def return_token(self, org_id: str) -> None:
         """Return the token of an admitted call that certainly did not run."""
         if self._limiter.return_token(org_id, self._context.monotonic()):
             self._context.metrics.count("rates.given_back")
@@ -178,7 +178,7 @@
         self.stop()
         self._view = view
         for output in self._limiter.on_view(view, self._context.monotonic()):
-            if isinstance(output, Tell):
+            if isinstance(output, PeerMessage):
                 # Sent from this green thread, because the process ends when this returns.
                 self._send(output.entry_id, output.message)
 
@@ -193,9 +193,9 @@
                     self._complete(call_id, None)
                 case RateRefused(call_id=call_id, refusal=refusal):
                     self._complete(call_id, refusal)
-                case Ask():
+                case TokenRequest():
                     eventlet.spawn_n(self._request_tokens, output)
-                case Tell(entry_id=entry_id, message=message):
+                case PeerMessage(entry_id=entry_id, message=message):
                     eventlet.spawn_n(self._send, entry_id, message)
 
     def _complete(self, call_id: str, result: Refusal | None) -> None:
@@ -203,7 +203,7 @@
         if event is not None:
             event.send(result)
 
-    def _request_tokens(self, request: Ask) -> None:
+    def _request_tokens(self, request: TokenRequest) -> None:
         try:
             link = self._link_to(request.entry_id)
             reply = link.request(request.message, PEER_TIMEOUT_S)
--- a/libs/relay/tarragonhall_relay/_admission.py
+++ b/libs/relay/tarragonhall_relay/_admission.py
@@ -126,7 +126,7 @@
     if call.organisation is None or call.organisation.rate is None:
         return None
     starts_program = call.starts_program
-    if starts_program and state.rates.is_dry(call.organisation.org_id):
+    if starts_program and state.rates.is_exhausted(call.organisation.org_id):
         message = "the organisation is over its rate; running programs go first"
         return Rejection(429, RefusalCode.RATE_EXCEEDED.value, message, NEW_PROGRAM_RETRY_S)
     program_started = bool(call.facts.program_id) and not starts_program
@@ -151,7 +151,7 @@
 def return_rate_token(state: RelayState, call: AdmittedCall) -> None:
     """Return the token of a call that certainly did not run: a rate limits calls that run."""
     if call.organisation is not None and call.organisation.rate is not None:
-        state.rates.give_back(call.organisation.org_id)
+        state.rates.return_token(call.organisation.org_id)
 
 
 def rejection_for(refusal: Refusal) -> Rejection:
--- a/libs/relay/tarragonhall_relay/_followers.py
+++ b/libs/relay/tarragonhall_relay/_followers.py
@@ -110,7 +110,7 @@
         if self.view.epoch >= fresh.view_epoch:
             self._state.chooser.cold.confirm(sent_at)
         if self.is_fresh(self._context.monotonic()):
-            self._state.rates.on_fresh(sent_at)
+            self._state.rates.renew_lease(sent_at)
 
     def _set_cold_limits(self, config: RelayConfig) -> None:
         slack = self._state.cold_slack
--- a/libs/relay/tests/waiting_tests.py
+++ b/libs/relay/tests/waiting_tests.py
@@ -54,7 +54,7 @@
 class UnreachableRateOwner:
     """Rates whose owner is unreachable and whose reserve is exhausted."""
 
-    def is_dry(self, _org_id):
+    def is_exhausted(self, _org_id):
         return False
 
     def owner_of(self, _org_id):
@@ -84,13 +84,13 @@
     def __init__(self) -> None:
         self.taken = []
 
-    def is_dry(self, _org_id):
+    def is_exhausted(self, _org_id):
         return True
 
     def take(self, _org_id, _call_id, _deadline, program_started, _run_s=None):
         self.taken.append(program_started)
 
-    def give_back(self, _org_id):
+    def return_token(self, _org_id):
         return
 
     def stop(self):
