--- a/libs/control/tarragonhall_control/_order_plan.py
+++ b/libs/control/tarragonhall_control/_order_plan.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 from tarragonhall_decisions import (
-    LOADS_AT_ONCE,
+    MAX_CONCURRENT_LOADS,
     EngineState,
     LoadOrder,
     ModelDemand,
@@ -95,7 +95,7 @@
         if not steps and not engines.in_flight:
             self._plan_switches(policy_by_model, engines, now)
             steps = self._switch_steps(policy_by_model, engines)
-        return steps[: max(0, LOADS_AT_ONCE - len(engines.in_flight))]
+        return steps[: max(0, MAX_CONCURRENT_LOADS - len(engines.in_flight))]
 
     # Version changes, one server at a time.
 
--- a/libs/decisions/tarragonhall_decisions/__init__.py
+++ b/libs/decisions/tarragonhall_decisions/__init__.py
@@ -7,7 +7,7 @@
 _NAMES_BY_MODULE = {
     "_backend_choice": (
         "BackendChooser",
-        "CallNeed",
+        "CallRequirements",
         "PromptPart",
     ),
     "_bucket": (
@@ -50,7 +50,7 @@
     ),
     "_model_orders": (
         "EngineState",
-        "LOADS_AT_ONCE",
+        "MAX_CONCURRENT_LOADS",
         "LoadOrder",
         "ModelDemand",
         "ModelOrders",
@@ -89,17 +89,17 @@
     ),
     "_retry": (
         "Failure",
-        "GiveUp",
+        "Abandon",
         "LinkLost",
         "Proof",
         "RetryBudget",
-        "TryAgain",
+        "Retry",
         "after_failure",
         "backoff_s",
         "proof_of",
     ),
     "_routing": (
-        "Need",
+        "RoutingRequest",
         "RouteChoice",
         "Router",
         "subset",
--- a/libs/decisions/tarragonhall_decisions/_backend_choice.py
+++ b/libs/decisions/tarragonhall_decisions/_backend_choice.py
@@ -98,7 +98,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class CallNeed:
+class CallRequirements:
     """What a call needs of a server.
 
     `parts` are empty for plain services; `object_key` names the call's object: servers that handled
@@ -303,18 +303,20 @@
         """Return this entry's counts of overdue and answered calls, for the other entries."""
         return ServerSigns(*self.unresponsive.own_signs(now))
 
-    def choose(self, need: CallNeed, now: float) -> BackendRecord | None:
+    def choose(self, requirements: CallRequirements, now: float) -> BackendRecord | None:
         """Return the server with the lowest cost; None where no server accepts the call."""
         self._forget_expired_loads(now)
         best: list[BackendRecord] = []
         lowest = float("inf")
-        preferred = self._preferred_server(need)
-        is_below_share = self._is_below_share(need.service)
+        preferred = self._preferred_server(requirements)
+        is_below_share = self._is_below_share(requirements.service)
         unresponsive_ms = self.unresponsive.costs(now)
-        for record in self._candidates(need, preferred):
-            if not need.allows(record) or not self._accepts_call(record, is_below_share, now):
+        for record in self._candidates(requirements, preferred):
+            if not requirements.allows(record) or not self._accepts_call(
+                record, is_below_share, now
+            ):
                 continue
-            cost = self._cost_ms(record, need, preferred, now) + unresponsive_ms.get(
+            cost = self._cost_ms(record, requirements, preferred, now) + unresponsive_ms.get(
                 record.server_id, 0.0
             )
             if cost < lowest - TIE_MS:
@@ -341,13 +343,13 @@
             load.started_at.remove(started_at)
             self._running_by_service[load.service] -= 1
 
-    def answered(self, server_id: str, need: CallNeed) -> None:
+    def answered(self, server_id: str, requirements: CallRequirements) -> None:
         """Record that a server answered: it works and holds the call's prompt parts."""
         load = self.load(server_id)
         load.failures = 0
         load.avoid_until = float("-inf")
         load.window.answered()
-        for part in need.parts:
+        for part in requirements.parts:
             holders = self._holders_by_part.setdefault(part.part_id, [])
             if server_id in holders:
                 holders.remove(server_id)
@@ -385,19 +387,26 @@
         return own * (1 + others) < self._slots_by_service.get(service, 0)
 
     def _cost_ms(
-        self, record: BackendRecord, need: CallNeed, preferred: str | None, now: float
+        self,
+        record: BackendRecord,
+        requirements: CallRequirements,
+        preferred: str | None,
+        now: float,
     ) -> float:
         load = self.load(record.server_id)
-        run_times = self.run_times(need.service)
-        cost = 0.0 if record.availability_zone == self._zone else self._cross_zone_ms(need)
+        run_times = self.run_times(requirements.service)
+        cost = 0.0 if record.availability_zone == self._zone else self._cross_zone_ms(requirements)
         running = load.running + self._others_running_by_server[record.server_id]
         cost += self._slot_wait_ms(running, record.slots, run_times.run_ms)
-        if need.parts:
-            cost += self._missing_tokens(record.server_id, need, preferred) / PREFILL_TOKENS_PER_MS
+        if requirements.parts:
+            cost += (
+                self._missing_tokens(record.server_id, requirements, preferred)
+                / PREFILL_TOKENS_PER_MS
+            )
         else:
             slowness = run_times.slowness(record.server_id, load.oldest_call_s(now), now)
             cost += run_times.run_ms * (slowness - 1.0)
-            if need.object_key and preferred != record.server_id:
+            if requirements.object_key and preferred != record.server_id:
                 cost += run_times.run_ms / 4
         if not record.heard:
             cost += UNREACHABLE_MS
@@ -407,11 +416,11 @@
             cost += 1000.0 * (load.avoid_until - now) + UNREACHABLE_MS
         return cost
 
-    def _cross_zone_ms(self, need: CallNeed) -> float:
+    def _cross_zone_ms(self, requirements: CallRequirements) -> float:
         """Return the cost of sending a call to another zone."""
-        if need.service not in self._local_ids_by_service:
+        if requirements.service not in self._local_ids_by_service:
             return ZONE_MS
-        return min(MAX_ZONE_MS, ZONE_MS + ZONE_MS_PER_KB * need.size / 1000)
+        return min(MAX_ZONE_MS, ZONE_MS + ZONE_MS_PER_KB * requirements.size / 1000)
 
     @staticmethod
     def _slot_wait_ms(running: int, slots: int, run_ms: float) -> float:
@@ -455,61 +464,73 @@
             if not self._others_running_by_server[server_id]:
                 del self._others_running_by_server[server_id]
 
-    def _missing_tokens(self, server_id: str, need: CallNeed, preferred: str | None) -> int:
+    def _missing_tokens(
+        self, server_id: str, requirements: CallRequirements, preferred: str | None
+    ) -> int:
         """Return the tokens that the server would have to read: all from the first missing part."""
-        total = sum(part.tokens for part in need.parts)
-        if server_id == need.last_server:
+        total = sum(part.tokens for part in requirements.parts)
+        if server_id == requirements.last_server:
             # It ran the previous turn; only the new part is missing.
-            return need.parts[-1].tokens
+            return requirements.parts[-1].tokens
         held_tokens = 0
-        for part in need.parts:
-            if not self._holds(server_id, part, need, preferred):
+        for part in requirements.parts:
+            if not self._holds(server_id, part, requirements, preferred):
                 break
             held_tokens += part.tokens
         return total - held_tokens
 
     def _holds(
-        self, server_id: str, part: PromptPart, need: CallNeed, preferred: str | None
+        self,
+        server_id: str,
+        part: PromptPart,
+        requirements: CallRequirements,
+        preferred: str | None,
     ) -> bool:
         holders = self._holders_by_part.get(part.part_id)
         if holders is not None and server_id in holders:
             return True
         # No holder is known; entries without knowledge agree on one server by the hash.
-        return part is need.parts[0] and preferred == server_id
+        return part is requirements.parts[0] and preferred == server_id
 
-    def _preferred_server(self, need: CallNeed) -> str | None:
+    def _preferred_server(self, requirements: CallRequirements) -> str | None:
         """Return the server that entries agree on by rendezvous hash, where no holder is known."""
-        local_ids = self._local_ids_by_service.get(need.service)
-        known = not need.parts or self._has_holder(need.parts[0], local_ids)
-        if known and not need.object_key:
+        local_ids = self._local_ids_by_service.get(requirements.service)
+        known = not requirements.parts or self._has_holder(requirements.parts[0], local_ids)
+        if known and not requirements.object_key:
             return None
-        key = need.object_key or need.parts[0].part_id
-        cached = self._preferred_by_key.get((need.service, key), "")
+        key = requirements.object_key or requirements.parts[0].part_id
+        cached = self._preferred_by_key.get((requirements.service, key), "")
         if cached != "":
             return cached
         if local_ids is None:
-            local_ids = [record.server_id for record in self.servers(need.service)]
+            local_ids = [record.server_id for record in self.servers(requirements.service)]
         if len(self._preferred_by_key) >= MAX_REMEMBERED_PARTS:
             self._preferred_by_key.clear()
-        preferred_id = self._preferred_by_key[need.service, key] = rendezvous(key, local_ids)
+        preferred_id = self._preferred_by_key[requirements.service, key] = rendezvous(
+            key, local_ids
+        )
         return preferred_id
 
-    def _candidates(self, need: CallNeed, preferred: str | None) -> list[BackendRecord]:
+    def _candidates(
+        self, requirements: CallRequirements, preferred: str | None
+    ) -> list[BackendRecord]:
         """Return the servers to compare: all, or a selection where there are many."""
-        servers = self.servers(need.service)
+        servers = self.servers(requirements.service)
         if len(servers) <= MAX_CANDIDATES:
             return servers
-        ids = {need.last_server, preferred or ""}
-        for part in need.parts:
+        ids = {requirements.last_server, preferred or ""}
+        for part in requirements.parts:
             ids.update(self._holders_by_part.get(part.part_id, ()))
-        local_ids = self._local_ids_by_service.get(need.service, ())
+        local_ids = self._local_ids_by_service.get(requirements.service, ())
         ids.update(self._rng.sample(local_ids, min(len(local_ids), MAX_CANDIDATES * 3 // 4)))
         found = {server_id: self._record_by_id.get(server_id) for server_id in ids}
         for record in self._rng.sample(servers, MAX_CANDIDATES):
             if len(found) >= MAX_CANDIDATES:
                 break
             found[record.server_id] = record
-        return [one for one in found.values() if one is not None and one.service == need.service]
+        return [
+            one for one in found.values() if one is not None and one.service == requirements.service
+        ]
 
     def _has_holder(self, part: PromptPart, local_ids: list[str] | None) -> bool:
         """Return whether any server holds a part, one of `local_ids` where they are given."""
--- a/libs/decisions/tarragonhall_decisions/_model_orders.py
+++ b/libs/decisions/tarragonhall_decisions/_model_orders.py
@@ -24,7 +24,7 @@
 # its time loading.
 COOLDOWN_S = 120.0
 # Maximum number of concurrent loads in the deployment; the weight store's rate is limited.
-LOADS_AT_ONCE = 2
+MAX_CONCURRENT_LOADS = 2
 # A replica with at most this share of its slots in use can be reassigned to another model.
 IDLE_SHARE = 0.3
 
@@ -74,7 +74,7 @@
         demand_by_model = {demand.model: demand for demand in demands}
         orders: list[LoadOrder] = []
         for demand in sorted(demands, key=lambda d: (-d.waiting_s, d.model)):
-            if len(self._loading) >= LOADS_AT_ONCE:
+            if len(self._loading) >= MAX_CONCURRENT_LOADS:
                 break
             if not self._needs_replica(demand, engines, now):
                 continue
--- a/libs/decisions/tarragonhall_decisions/_retry.py
+++ b/libs/decisions/tarragonhall_decisions/_retry.py
@@ -69,14 +69,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class TryAgain:
+class Retry:
     """Start another attempt after this time, on another server than the one that failed."""
 
     after_s: float
 
 
 @dataclass(slots=True, frozen=True)
-class GiveUp:
+class Abandon:
     """Return this refusal to the caller now."""
 
     refusal: Refusal
@@ -92,13 +92,13 @@
         """Earn a fraction of a retry."""
         self.saved = min(MAX_SAVED_RETRIES, self.saved + RETRIES_PER_SUCCESS)
 
-    def has_one(self) -> bool:
+    def has_retry(self) -> bool:
         """Return whether the budget holds a retry."""
         return self.saved >= 1.0
 
     def take(self) -> bool:
         """Use one retry; return False if the budget holds none."""
-        if not self.has_one():
+        if not self.has_retry():
             return False
         self.saved -= 1.0
         return True
@@ -128,28 +128,28 @@
     *,
     repeatable: bool,
     attempts: int,
-    unproven: int,
+    possibly_run: int,
     deadline: Deadline,
     budget: RetryBudget,
     now: float,
     rng: random.Random,
-) -> TryAgain | GiveUp:
+) -> Retry | Abandon:
     """Decide what follows an attempt without an answer.
 
-    `attempts` counts this and all earlier attempts, `unproven` those of them that may have run.
+    `attempts` counts this and all earlier attempts, `possibly_run` those of them that may have run.
     Only the latter count towards `MAX_ATTEMPTS`: a server that restarts rejects calls meanwhile,
     and if those counted, a request that crashes servers would be abandoned before it is recognised
     as such.
     """
     proof = proof_of(failure)
     if proof is Proof.UNKNOWN and not repeatable:
-        return GiveUp(_unknown_refusal("the call may have run and must not be repeated"))
+        return Abandon(_unknown_refusal("the call may have run and must not be repeated"))
     pause_s = backoff_s(attempts, rng)
     stale_view = isinstance(failure, Rejected) and failure.reason in _STALE_VIEW_REASONS
-    limit_reached = attempts >= MAX_REJECTED_ATTEMPTS or unproven >= MAX_ATTEMPTS
+    limit_reached = attempts >= MAX_REJECTED_ATTEMPTS or possibly_run >= MAX_ATTEMPTS
     if limit_reached or deadline.passed(now + pause_s) or not (stale_view or budget.take()):
-        return GiveUp(_last_refusal(proof, attempts))
-    return TryAgain(0.0 if stale_view and attempts == 1 else pause_s)
+        return Abandon(_last_refusal(proof, attempts))
+    return Retry(0.0 if stale_view and attempts == 1 else pause_s)
 
 
 def _last_refusal(proof: Proof, attempts: int) -> Refusal:
--- a/libs/decisions/tarragonhall_decisions/_routing.py
+++ b/libs/decisions/tarragonhall_decisions/_routing.py
@@ -45,7 +45,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Need:
+class RoutingRequest:
     """What a call needs.
 
     `prompt_tokens` counts its history and prompt, `units` the work expected of it (generated
@@ -120,16 +120,16 @@
         """Return whether a call to the target could be sent now."""
         return any(state.usable() and state.has_room() for state in self._states(target))
 
-    def choose(self, need: Need, now: float) -> RouteChoice | None:
+    def choose(self, request: RoutingRequest, now: float) -> RouteChoice | None:
         """Choose a server; None while the call should wait in the queue."""
-        self._adapt(need.target, now)
+        self._adapt(request.target, now)
         usable = [
             state
-            for state in self._states(need.target)
-            if state.usable() and state.record.server_id not in need.avoid
+            for state in self._states(request.target)
+            if state.usable() and state.record.server_id not in request.avoid
         ]
-        holders = [state for state in usable if self._holds(state, need)]
-        share = 1.0 if need.started else NEW_PROGRAM_SHARE
+        holders = [state for state in usable if self._holds(state, request)]
+        share = 1.0 if request.started else NEW_PROGRAM_SHARE
         open_states = [state for state in usable if state.has_room(share)]
         candidates = self._sample(open_states)
         for state in holders:
@@ -137,20 +137,22 @@
                 candidates.append(state)
         if not candidates:
             return None
-        best = min(candidates, key=lambda state: self._cost(state, need))
+        best = min(candidates, key=lambda state: self._cost(state, request))
         if not holders and candidates[0].weight < 1.0:
             # A slow server always costs more than the other choice; without these few calls its
             # recovery would go unnoticed and its capacity would be lost.
             best = candidates[0]
-        return RouteChoice(best.record, self._cost(best, need), best in holders)
+        return RouteChoice(best.record, self._cost(best, request), best in holders)
 
-    def on_start(self, server_id: str, attempt_key: str, need: Need, now: float) -> None:
+    def on_start(
+        self, server_id: str, attempt_key: str, request: RoutingRequest, now: float
+    ) -> None:
         """Record that an attempt was dispatched."""
         state = self._state_by_id.get(server_id)
         if state is not None:
-            state.on_start(attempt_key, need.units, now)
-        self._server_by_program[need.program_id] = server_id
-        self._server_by_program.move_to_end(need.program_id)
+            state.on_start(attempt_key, request.units, now)
+        self._server_by_program[request.program_id] = server_id
+        self._server_by_program.move_to_end(request.program_id)
         if len(self._server_by_program) > MAX_REMEMBERED_PROGRAMS:
             self._server_by_program.popitem(last=False)
 
@@ -162,7 +164,7 @@
         if state is not None:
             state.on_end(attempt_key, units, answered, now)
 
-    def on_unused(self, server_id: str, attempt_key: str) -> None:
+    def on_slot_unused(self, server_id: str, attempt_key: str) -> None:
         """Record that an attempt was not sent after all; the server's speed stays unchanged."""
         state = self._state_by_id.get(server_id)
         if state is not None and state.open_by_key.pop(attempt_key, None) is not None:
@@ -175,12 +177,12 @@
     def _states(self, target: str) -> list[ServerState]:
         return [self._state_by_id[i] for i in self._ids_by_target.get(target, ())]
 
-    def _holds(self, state: ServerState, need: Need) -> bool:
+    def _holds(self, state: ServerState, request: RoutingRequest) -> bool:
         server_id = state.record.server_id
-        if need.program_id in state.held_programs:
+        if request.program_id in state.held_programs:
             return True
-        known = self._server_by_program.get(need.program_id, need.prefix_server)
-        return need.prompt_tokens > 0 and known == server_id
+        known = self._server_by_program.get(request.program_id, request.prefix_server)
+        return request.prompt_tokens > 0 and known == server_id
 
     def _sample(self, states: list[ServerState]) -> list[ServerState]:
         """Return two different states at random by weight, from the own zone where it has two."""
@@ -193,10 +195,12 @@
             chosen.append(pool.pop(picked))
         return chosen
 
-    def _cost(self, state: ServerState, need: Need) -> float:
-        unit_s = state.unit_s or self._median_unit_s.get(need.target, 0.0)
-        run_s = unit_s * need.units
-        recompute_s = 0.0 if self._holds(state, need) else need.prompt_tokens * PREFILL_S_PER_TOKEN
+    def _cost(self, state: ServerState, request: RoutingRequest) -> float:
+        unit_s = state.unit_s or self._median_unit_s.get(request.target, 0.0)
+        run_s = unit_s * request.units
+        recompute_s = (
+            0.0 if self._holds(state, request) else request.prompt_tokens * PREFILL_S_PER_TOKEN
+        )
         round_trip_s = 0.0 if state.record.availability_zone == self._zone else ZONE_ROUND_TRIP_S
         return state.wait_s(run_s) + recompute_s + run_s + round_trip_s
 
--- a/libs/decisions/tests/backend_choice_tests.py
+++ b/libs/decisions/tests/backend_choice_tests.py
@@ -5,7 +5,7 @@
 import collections
 import random
 
-from tarragonhall_decisions import BackendChooser, CallNeed, PromptPart
+from tarragonhall_decisions import BackendChooser, CallRequirements, PromptPart
 from tarragonhall_decisions._backend_choice import (
     AVOID_S,
     MAX_AVOID_S,
@@ -38,14 +38,16 @@
     return chooser
 
 
-def need(*parts: PromptPart, last: str = "", avoid: frozenset[str] = frozenset()) -> CallNeed:
-    return CallNeed("models", parts, last_server=last, avoid=avoid)
+def requirements(
+    *parts: PromptPart, last: str = "", avoid: frozenset[str] = frozenset()
+) -> CallRequirements:
+    return CallRequirements("models", parts, last_server=last, avoid=avoid)
 
 
 def test_a_turn_goes_to_the_server_of_the_previous_turn():
     # Any other engine would read the whole conversation again while the caller waits.
     chooser = make_chooser(engines())
-    history = need(SUBJECT, PromptPart("talk", 3_000), PromptPart("new", 200), last="i-4")
+    history = requirements(SUBJECT, PromptPart("talk", 3_000), PromptPart("new", 200), last="i-4")
     assert chooser.choose(history, 0.0).server_id == "i-4"
 
 
@@ -53,7 +55,7 @@
     # No entry knows yet what engines hold. If each sent a subject to another engine, every engine
     # would read every subject.
     chosen = {
-        make_chooser(engines(), zone, seed).choose(need(SUBJECT), 0.0).server_id
+        make_chooser(engines(), zone, seed).choose(requirements(SUBJECT), 0.0).server_id
         for zone in ZONES
         for seed in range(5)
     }
@@ -66,7 +68,7 @@
     chooser = make_chooser(engines())
     counts = collections.Counter()
     for _ in range(60):
-        server_id = chooser.choose(need(SUBJECT, PromptPart("own", 100)), 0.0).server_id
+        server_id = chooser.choose(requirements(SUBJECT, PromptPart("own", 100)), 0.0).server_id
         chooser.started(server_id, 0.0)
         counts[server_id] += 1
     assert len(counts) == 6
@@ -79,7 +81,7 @@
     chooser = make_chooser(plain_servers(5))
     counts = collections.Counter()
     for _ in range(50):
-        server = chooser.choose(CallNeed("desk"), 0.0)
+        server = chooser.choose(CallRequirements("desk"), 0.0)
         if server is None:
             continue
         chooser.started(server.server_id, 0.0)
@@ -95,19 +97,19 @@
     for entry in ("entry-2", "entry-3"):
         chooser.on_entry_load(entry, {"i-0": 32, "i-1": 32}, 0.0)
     for _ in range(2 * 32 // 3):
-        chooser.started(chooser.choose(need(), 0.0).server_id, 0.0)
+        chooser.started(chooser.choose(requirements(), 0.0).server_id, 0.0)
     chooser.started("i-0", 0.0)
-    assert chooser.choose(need(), 0.0) is None
+    assert chooser.choose(requirements(), 0.0) is None
 
 
 def test_a_full_server_gets_no_call_for_a_short_time():
     chooser = make_chooser(engines(2), zone="zona-a")
-    first = chooser.choose(need(), 0.0).server_id
+    first = chooser.choose(requirements(), 0.0).server_id
     chooser.started(first, 0.0)
     chooser.refused(first, 0.0)
     chooser.ended(first, 0.0)
-    assert chooser.choose(need(), 0.001).server_id != first
-    assert chooser.choose(need(), 0.15).server_id == first
+    assert chooser.choose(requirements(), 0.001).server_id != first
+    assert chooser.choose(requirements(), 0.15).server_id == first
 
 
 def test_no_server_is_chosen_while_all_are_full():
@@ -117,34 +119,34 @@
         chooser.started(server.server_id, 0.0)
         chooser.refused(server.server_id, 0.0)
         chooser.ended(server.server_id, 0.0)
-    assert chooser.choose(need(), 0.001) is None
-    assert chooser.choose(need(), 0.15) is not None
+    assert chooser.choose(requirements(), 0.001) is None
+    assert chooser.choose(requirements(), 0.15) is not None
 
 
 def test_a_server_that_fails_is_avoided_longer_each_time_and_tried_again():
     # A server does not answer. If every call tried it, each would wait for it; if none did, it
     # would stay unused after its recovery.
     chooser = make_chooser(engines(3))
-    server_id = chooser.choose(need(), 0.0).server_id
+    server_id = chooser.choose(requirements(), 0.0).server_id
     now = 0.0
     for number in range(8):
         chooser.failed(server_id, now)
         pause = min(MAX_AVOID_S, AVOID_S * 2**number)
-        assert chooser.choose(need(), now + pause / 2).server_id != server_id
+        assert chooser.choose(requirements(), now + pause / 2).server_id != server_id
         now += pause + 0.01
-    assert chooser.choose(need(), now).server_id == server_id
+    assert chooser.choose(requirements(), now).server_id == server_id
 
 
 def test_the_only_server_is_tried_although_it_failed():
     chooser = make_chooser(engines(1))
     chooser.failed("i-0", 0.0)
-    assert chooser.choose(need(), 0.0).server_id == "i-0"
+    assert chooser.choose(requirements(), 0.0).server_id == "i-0"
 
 
 def test_one_success_ends_the_avoidance():
     chooser = make_chooser(engines(1))
     chooser.failed("i-0", 0.0)
-    chooser.answered("i-0", need(SUBJECT))
+    chooser.answered("i-0", requirements(SUBJECT))
     assert chooser.load("i-0").failures == 0
 
 
@@ -160,31 +162,35 @@
 
 def test_servers_of_the_own_zone_win_near_ties():
     # Traffic between availability zones is paid for.
-    assert make_chooser(engines(), "zona-b").choose(need(), 0.0).availability_zone == "zona-b"
+    assert (
+        make_chooser(engines(), "zona-b").choose(requirements(), 0.0).availability_zone == "zona-b"
+    )
 
 
 def test_servers_already_tried_are_left_out():
     chooser = make_chooser(engines(2))
     tried = frozenset({"i-0"})
-    assert chooser.choose(need(avoid=tried), 0.0).server_id == "i-1"
-    assert chooser.choose(need(avoid=frozenset({"i-0", "i-1"})), 0.0) is None
+    assert chooser.choose(requirements(avoid=tried), 0.0).server_id == "i-1"
+    assert chooser.choose(requirements(avoid=frozenset({"i-0", "i-1"})), 0.0) is None
 
 
 def test_running_calls_of_other_entries_count():
     # Each entry sees only its own calls. Without the others' counts, each would take the engine
     # that all of them use for idle.
     chooser = make_chooser(engines(3))
-    server_id = chooser.choose(need(), 0.0).server_id
+    server_id = chooser.choose(requirements(), 0.0).server_id
     chooser.on_entry_load("entry-2", {server_id: 12}, 0.0)
-    assert chooser.choose(need(), 0.1).server_id != server_id
-    assert chooser.choose(need(), 0.1 + OTHER_LOAD_VALID_S).server_id == server_id
+    assert chooser.choose(requirements(), 0.1).server_id != server_id
+    assert chooser.choose(requirements(), 0.1 + OTHER_LOAD_VALID_S).server_id == server_id
 
 
 def test_a_few_calls_do_not_move_a_conversation():
     # Its engine runs three calls more than another one. Moving the conversation for that would read
     # thousands of tokens again, which takes longer than the three calls cost.
     chooser = make_chooser(engines(6))
-    conversation = need(SUBJECT, PromptPart("talk", 2_000), PromptPart("new", 500), last="i-4")
+    conversation = requirements(
+        SUBJECT, PromptPart("talk", 2_000), PromptPart("new", 500), last="i-4"
+    )
     for _ in range(3):
         chooser.started("i-4", 0.0)
     assert chooser.choose(conversation, 0.0).server_id == "i-4"
@@ -202,8 +208,8 @@
     chooser = make_chooser(records)
     for _ in range(40):
         chooser.run_times("models").stream_ended(190.0)
-    conversation = need(PromptPart("talk", 1_000), PromptPart("new", 300), last="i-1")
-    chooser.answered("i-1", need(PromptPart("talk", 1_000)))
+    conversation = requirements(PromptPart("talk", 1_000), PromptPart("new", 300), last="i-1")
+    chooser.answered("i-1", requirements(PromptPart("talk", 1_000)))
     chooser.started("i-1", 0.0)
     assert chooser.choose(conversation, 0.0).server_id == "i-1"
     for _ in range(5):
@@ -221,13 +227,14 @@
         chooser.run_times("desk").call_ended(f"d-{number % 4}", "lookup", 60.0, 0.0)
     for _ in range(3):
         chooser.run_times("desk").call_ended("d-2", "lookup", 300.0, 1.0)
-    assert {chooser.choose(CallNeed("desk"), 1.1).server_id for _ in range(200)} == {
+    assert {chooser.choose(CallRequirements("desk"), 1.1).server_id for _ in range(200)} == {
         "d-0",
         "d-1",
         "d-3",
     }
     later = {
-        chooser.choose(CallNeed("desk"), 1.0 + 8 * RATIO_HALF_LIFE_S).server_id for _ in range(200)
+        chooser.choose(CallRequirements("desk"), 1.0 + 8 * RATIO_HALF_LIFE_S).server_id
+        for _ in range(200)
     }
     assert "d-2" in later
 
@@ -240,7 +247,7 @@
     for number in range(40):
         chooser.run_times("desk").call_ended(f"d-{number % 4}", "lookup", 60.0, 0.0)
     chooser.started("d-1", 1.0)
-    chosen = {chooser.choose(CallNeed("desk"), 1.6).server_id for _ in range(200)}
+    chosen = {chooser.choose(CallRequirements("desk"), 1.6).server_id for _ in range(200)}
     assert "d-1" not in chosen
 
 
@@ -256,7 +263,7 @@
     # Guards against turns that carry their history to another zone although their own has room.
     chooser = make_chooser(zoned(5), zone="zona-b")
     for n in range(40):
-        first = CallNeed("models", (SUBJECT, PromptPart(f"own-{n}", 500)), size=20_000)
+        first = CallRequirements("models", (SUBJECT, PromptPart(f"own-{n}", 500)), size=20_000)
         server = chooser.choose(first, 0.0)
         assert server.availability_zone == "zona-b"
         chooser.started(server.server_id, 0.0)
@@ -265,7 +272,7 @@
 def test_a_zone_reads_a_shared_prefix_once_for_itself():
     # Guards against programs that leave their zone because another zone holds their subject.
     chooser = make_chooser(zoned(5), zone="zona-b")
-    subject = CallNeed("models", (SUBJECT, PromptPart("own", 500)), size=20_000)
+    subject = CallRequirements("models", (SUBJECT, PromptPart("own", 500)), size=20_000)
     chooser.answered("i-0", subject)
     chosen = {
         make_chooser(zoned(5), "zona-b", seed).choose(subject, 0.0).server_id for seed in range(5)
@@ -282,7 +289,7 @@
     chooser = make_chooser(zoned(5), zone="zona-b")
     zones = collections.Counter()
     for n in range(150):
-        first = CallNeed("models", (SUBJECT, PromptPart(f"own-{n}", 500)), size=20_000)
+        first = CallRequirements("models", (SUBJECT, PromptPart(f"own-{n}", 500)), size=20_000)
         server = chooser.choose(first, 0.0)
         if server is None:
             break
@@ -298,7 +305,7 @@
     zones = collections.Counter()
     for n in range(30):
         server = chooser.choose(
-            CallNeed("models", (PromptPart(f"own-{n}", 500),), size=20_000), 0.0
+            CallRequirements("models", (PromptPart(f"own-{n}", 500),), size=20_000), 0.0
         )
         chooser.started(server.server_id, 0.0)
         zones[server.availability_zone] += 1
@@ -309,5 +316,5 @@
     # Guards against reading the conversation again when its client arrives through another zone.
     chooser = make_chooser(zoned(5), zone="zona-b")
     parts = (SUBJECT, PromptPart("talk", 6_000), PromptPart("new", 200))
-    moved = CallNeed("models", parts, last_server="i-0", size=20_000)
+    moved = CallRequirements("models", parts, last_server="i-0", size=20_000)
     assert chooser.choose(moved, 0.0).server_id == "i-0"
--- a/libs/decisions/tests/cold_servers_tests.py
+++ b/libs/decisions/tests/cold_servers_tests.py
@@ -7,7 +7,7 @@
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from tarragonhall_decisions import BackendChooser, CallNeed, ColdServers
+from tarragonhall_decisions import BackendChooser, CallRequirements, ColdServers
 from tarragonhall_decisions._cold_servers import ASSUMED_COLD_S, VIEW_VALID_S
 from tarragonhall_model import BackendRecord, EntryRecord
 
@@ -209,7 +209,7 @@
     others = [BackendRecord(f"w-{n}", "models", f"b:{n}", "tx-temple", 96, 1, 1) for n in range(2)]
     chooser.set_servers([COLD, *others], 0.0)
     for _ in range(120):
-        record = chooser.choose(CallNeed("models"), 0.5)
+        record = chooser.choose(CallRequirements("models"), 0.5)
         assert record is not None
         chooser.started(record.server_id, 0.5)
     load = chooser.own_load()
--- a/libs/decisions/tests/home_regions_tests.py
+++ b/libs/decisions/tests/home_regions_tests.py
@@ -4,7 +4,7 @@
 
 import random
 
-from tarragonhall_decisions import BackendChooser, CallNeed, home_zones
+from tarragonhall_decisions import BackendChooser, CallRequirements, home_zones
 from tarragonhall_model import BackendRecord
 
 REGION_BY_ZONE = {"tx-waco": "tx", "tx-temple": "tx", "wa-derby": "wa"}
@@ -25,13 +25,13 @@
         for zone in REGION_BY_ZONE
     ]
     chooser.set_servers(records, 0.0)
-    need = CallNeed("models", zones=home_zones(("tx",), (), REGION_BY_ZONE))
+    requirements = CallRequirements("models", zones=home_zones(("tx",), (), REGION_BY_ZONE))
     for _ in range(20):
-        record = chooser.choose(need, 0.0)
+        record = chooser.choose(requirements, 0.0)
         if record is None:
             break
         assert REGION_BY_ZONE[record.availability_zone] == "tx"
         chooser.started(record.server_id, 0.0)
     chooser.set_servers(records[2:], 0.0)
-    assert chooser.choose(need, 0.0) is None
-    assert chooser.choose(CallNeed("models"), 0.0).server_id == "i-wa-derby"
+    assert chooser.choose(requirements, 0.0) is None
+    assert chooser.choose(CallRequirements("models"), 0.0).server_id == "i-wa-derby"
--- a/libs/decisions/tests/load_tests.py
+++ b/libs/decisions/tests/load_tests.py
@@ -11,7 +11,7 @@
 from functools import partial
 
 import pytest
-from tarragonhall_decisions import Deadline, FairQueue, Need, QueuedCall, Router, RunTimes
+from tarragonhall_decisions import Deadline, FairQueue, QueuedCall, Router, RoutingRequest, RunTimes
 from tarragonhall_model import LoadReport, ServerKind, ServerRecord
 
 TARGET = "model"
@@ -124,14 +124,16 @@
         while len(self.queue) and self.router.has_room(TARGET):
             call = self.queue.take(now)
             program = self.world.by_name[call.program_id]
-            need = Need(TARGET, call.program_id, self.world.prompt(program), 50.0, call.started)
-            choice = self.router.choose(need, now)
+            request = RoutingRequest(
+                TARGET, call.program_id, self.world.prompt(program), 50.0, call.started
+            )
+            choice = self.router.choose(request, now)
             if choice is None:
                 self.queue.requeue(call)
                 return
             self.open[call.call_id] = call
             server = self.world.server_by_id[choice.server.server_id]
-            self.router.on_start(choice.server.server_id, call.call_id, need, now)
+            self.router.on_start(choice.server.server_id, call.call_id, request, now)
             self.world.send(program, server)
 
     def on_report(self, report: LoadReport) -> None:
--- a/libs/decisions/tests/many_servers_tests.py
+++ b/libs/decisions/tests/many_servers_tests.py
@@ -5,7 +5,7 @@
 import collections
 import random
 
-from tarragonhall_decisions import BackendChooser, CallNeed, PromptPart
+from tarragonhall_decisions import BackendChooser, CallRequirements, PromptPart
 from tarragonhall_decisions import _backend_choice as choice
 from tarragonhall_model import BackendRecord
 
@@ -33,7 +33,9 @@
     monkeypatch.setattr(BackendChooser, "_cost_ms", counted)
     chooser = make_chooser(3_000)
     for n in range(20):
-        assert chooser.choose(CallNeed("models", (SUBJECT, PromptPart(f"own-{n}", 500))), 0.0)
+        assert chooser.choose(
+            CallRequirements("models", (SUBJECT, PromptPart(f"own-{n}", 500))), 0.0
+        )
     assert len(compared) <= 20 * (choice.MAX_CANDIDATES + 10)
 
 
@@ -42,18 +44,20 @@
     chooser = make_chooser(3_000)
     talk = PromptPart("talk", 4_000)
     for n in range(30):
-        need = CallNeed("models", (SUBJECT, talk, PromptPart(f"new-{n}", 200)), last_server="i-7")
-        assert chooser.choose(need, 0.0).server_id == "i-7"
-    chooser.answered("i-1234", CallNeed("models", (SUBJECT, talk)))
-    need = CallNeed("models", (SUBJECT, talk, PromptPart("next", 200)))
-    assert chooser.choose(need, 0.0).server_id == "i-1234"
+        requirements = CallRequirements(
+            "models", (SUBJECT, talk, PromptPart(f"new-{n}", 200)), last_server="i-7"
+        )
+        assert chooser.choose(requirements, 0.0).server_id == "i-7"
+    chooser.answered("i-1234", CallRequirements("models", (SUBJECT, talk)))
+    requirements = CallRequirements("models", (SUBJECT, talk, PromptPart("next", 200)))
+    assert chooser.choose(requirements, 0.0).server_id == "i-1234"
 
 
 def test_a_burst_spreads_over_many_servers_and_none_is_filled():
     chooser = make_chooser(600)
     counts = collections.Counter()
     for n in range(600):
-        record = chooser.choose(CallNeed("models", (PromptPart(f"own-{n}", 500),)), 0.0)
+        record = chooser.choose(CallRequirements("models", (PromptPart(f"own-{n}", 500),)), 0.0)
         chooser.started(record.server_id, 0.0)
         counts[record.server_id] += 1
     assert max(counts.values()) <= 6
@@ -63,8 +67,10 @@
 def test_evacuated_servers_are_not_chosen_as_prompt_holders():
     """Prompt holders are remembered for longer than the servers get calls."""
     chooser = make_chooser(300)
-    chooser.answered("i-1", CallNeed("models", (SUBJECT,)))
+    chooser.answered("i-1", CallRequirements("models", (SUBJECT,)))
     chooser.set_evacuated(["tx-waco"], 0.0)
     for n in range(50):
-        need = CallNeed("models", (SUBJECT, PromptPart(f"own-{n}", 500)), last_server="i-4")
-        assert chooser.choose(need, 0.0).availability_zone != "tx-waco"
+        requirements = CallRequirements(
+            "models", (SUBJECT, PromptPart(f"own-{n}", 500)), last_server="i-4"
+        )
+        assert chooser.choose(requirements, 0.0).availability_zone != "tx-waco"
--- a/libs/decisions/tests/planning_tests.py
+++ b/libs/decisions/tests/planning_tests.py
@@ -12,8 +12,8 @@
     HeldPrefix,
     ModelDemand,
     ModelOrders,
-    Need,
     Router,
+    RoutingRequest,
     should_move,
     subset,
     to_release,
@@ -51,7 +51,7 @@
     router.on_view([server("d", draining=True), server("u"), server("l"), server("ok")])
     router.on_load_report(LoadReport("u", "1", 0, 0, 4, healthy=False))
     router.on_link("l", up=False)
-    chosen = {router.choose(Need("m", f"p{n}"), 0.0).server.server_id for n in range(50)}
+    chosen = {router.choose(RoutingRequest("m", f"p{n}"), 0.0).server.server_id for n in range(50)}
     assert chosen == {"ok"}
 
 
@@ -59,7 +59,9 @@
     """Two servers in the entry's own zone and two in another are idle; calls stay in the zone."""
     router = Router("zone-a", random.Random(1))
     router.on_view([server("a1"), server("a2"), server("b1", "zone-b"), server("b2", "zone-b")])
-    chosen = Counter(router.choose(Need("m", f"p{n}"), 0.0).server.server_id for n in range(50))
+    chosen = Counter(
+        router.choose(RoutingRequest("m", f"p{n}"), 0.0).server.server_id for n in range(50)
+    )
     assert set(chosen) == {"a1", "a2"}
 
 
@@ -72,11 +74,13 @@
     now = 0.0
     for number in range(12):
         for name, seconds in (("slow", 5.0), ("b", 0.5), ("c", 0.5)):
-            router.on_start(name, f"{name}-{number}", Need("m", "p"), now)
+            router.on_start(name, f"{name}-{number}", RoutingRequest("m", "p"), now)
             router.on_end(name, f"{name}-{number}", 1.0, True, now + seconds)
         now += 1.0
-        router.choose(Need("m", "p"), now)
-    chosen = Counter(router.choose(Need("m", f"p{n}"), now).server.server_id for n in range(1_000))
+        router.choose(RoutingRequest("m", "p"), now)
+    chosen = Counter(
+        router.choose(RoutingRequest("m", f"p{n}"), now).server.server_id for n in range(1_000)
+    )
     assert 0 < chosen["slow"] < 100
 
 
--- a/libs/decisions/tests/retry_tests.py
+++ b/libs/decisions/tests/retry_tests.py
@@ -6,16 +6,16 @@
 
 import pytest
 from tarragonhall_decisions import (
+    Abandon,
     Deadline,
-    GiveUp,
     LinkLost,
+    Retry,
     RetryBudget,
-    TryAgain,
     after_failure,
 )
 from tarragonhall_model import AttemptOutcome, Execution, Rejected, RejectReason
 
-UNPROVEN = [
+POSSIBLY_RUN = [
     AttemptOutcome.FAILED,
     AttemptOutcome.CRASHED,
     AttemptOutcome.CANCELLED,
@@ -30,7 +30,7 @@
     budget: RetryBudget,
     repeatable: bool = False,
     attempts: int = 1,
-    unproven: int | None = None,
+    possibly_run: int | None = None,
     left=30.0,
 ):
     """Decide at time zero; by default each attempt may have run."""
@@ -38,7 +38,7 @@
         failure,
         repeatable=repeatable,
         attempts=attempts,
-        unproven=attempts if unproven is None else unproven,
+        possibly_run=attempts if possibly_run is None else possibly_run,
         deadline=Deadline(left),
         budget=budget,
         now=0.0,
@@ -46,20 +46,20 @@
     )
 
 
-@pytest.mark.parametrize("failure", UNPROVEN, ids=str)
+@pytest.mark.parametrize("failure", POSSIBLY_RUN, ids=str)
 def test_unproven_call_is_not_repeated(failure):
     """A billing call's answer is lost and it is unknown whether it ran. A second attempt could bill
     the customer twice, so the caller is told that the outcome is unknown.
     """
     decision = decide(failure, RetryBudget())
-    assert isinstance(decision, GiveUp)
+    assert isinstance(decision, Abandon)
     assert decision.refusal.execution is Execution.UNKNOWN
 
 
 @pytest.mark.parametrize("failure", PROVEN, ids=str)
 def test_call_that_did_not_run_goes_elsewhere(failure):
     """A server rejected the call before it started; it is retried without the caller's help."""
-    assert isinstance(decide(failure, RetryBudget()), TryAgain)
+    assert isinstance(decide(failure, RetryBudget()), Retry)
 
 
 def test_retries_stay_a_share_of_the_successes():
@@ -71,7 +71,7 @@
     for number in range(1_000):
         if number % 2:
             budget.on_success()
-        elif isinstance(decide(AttemptOutcome.FAILED, budget, repeatable=True), TryAgain):
+        elif isinstance(decide(AttemptOutcome.FAILED, budget, repeatable=True), Retry):
             retried += 1
     assert retried <= 10 + 0.1 * 500
 
@@ -79,14 +79,14 @@
 def test_no_retry_that_would_end_after_the_deadline():
     """The caller is about to time out; another attempt's answer would be useless."""
     decision = decide(AttemptOutcome.NOT_RUN, RetryBudget(), left=0.04)
-    assert isinstance(decision, GiveUp)
+    assert isinstance(decision, Abandon)
     assert decision.refusal.execution is Execution.NOT_RUN
 
 
 def test_attempts_are_bounded():
     """Every server fails the call; its caller must not wait for ever."""
     decision = decide(AttemptOutcome.FAILED, RetryBudget(), repeatable=True, attempts=3)
-    assert isinstance(decision, GiveUp)
+    assert isinstance(decision, Abandon)
 
 
 def test_rejections_do_not_count_as_crashes():
@@ -95,13 +95,13 @@
     as one that crashes servers, and its caller would not be told to stop sending it.
     """
     decision = decide(
-        AttemptOutcome.CRASHED, RetryBudget(), repeatable=True, attempts=5, unproven=2
+        AttemptOutcome.CRASHED, RetryBudget(), repeatable=True, attempts=5, possibly_run=2
     )
-    assert isinstance(decision, TryAgain)
+    assert isinstance(decision, Retry)
 
 
 def test_attempts_that_did_not_run_are_bounded_as_well():
     """Every server rejects the call; its caller must not wait for ever."""
-    decision = decide(AttemptOutcome.NOT_RUN, RetryBudget(), attempts=8, unproven=0)
-    assert isinstance(decision, GiveUp)
+    decision = decide(AttemptOutcome.NOT_RUN, RetryBudget(), attempts=8, possibly_run=0)
+    assert isinstance(decision, Abandon)
     assert decision.refusal.execution is Execution.NOT_RUN
--- a/libs/decisions/tests/unresponsive_servers_tests.py
+++ b/libs/decisions/tests/unresponsive_servers_tests.py
@@ -4,7 +4,7 @@
 
 import random
 
-from tarragonhall_decisions import BackendChooser, CallNeed, UnresponsiveServers
+from tarragonhall_decisions import BackendChooser, CallRequirements, UnresponsiveServers
 from tarragonhall_decisions._unresponsive_servers import (
     INITIAL_ANSWER_S,
     LOST_CALL_VALID_S,
@@ -71,12 +71,12 @@
     """Guards against 25 entries that each lose a stream to a hung engine before detecting it."""
     chooser = BackendChooser("tx-austin", random.Random(1))
     chooser.set_servers(servers(), 0.0)
-    chooser.answered("i-0", CallNeed("models"))
+    chooser.answered("i-0", CallRequirements("models"))
     signs = ServerSigns(silent_by_server={"i-0": 3}, answered_by_server={"i-3": 5})
     chooser.on_load_elsewhere(LoadElsewhere(24, {}, signs), 0.0)
     chosen = set()
     for _ in range(40):
-        record = chooser.choose(CallNeed("models"), 0.1)
+        record = chooser.choose(CallRequirements("models"), 0.1)
         chooser.started(record.server_id, 0.1)
         chosen.add(record.server_id)
     assert "i-0" not in chosen
@@ -114,7 +114,7 @@
     chooser.set_servers(servers(1), 0.0)
     signs = ServerSigns(silent_by_server={"i-0": 3})
     chooser.on_load_elsewhere(LoadElsewhere(24, {}, signs), 0.0)
-    chooser.choose(CallNeed("models"), 0.1)
+    chooser.choose(CallRequirements("models"), 0.1)
     assert chooser.unresponsive.costs(0.1)
-    chooser.choose(CallNeed("models"), 5.0)
+    chooser.choose(CallRequirements("models"), 5.0)
     assert not chooser.unresponsive.costs(5.0)
--- a/libs/decisions/tests/zones_tests.py
+++ b/libs/decisions/tests/zones_tests.py
@@ -4,11 +4,11 @@
 
 import random
 
-from tarragonhall_decisions import BackendChooser, CallNeed, ColdServers
+from tarragonhall_decisions import BackendChooser, CallRequirements, ColdServers
 from tarragonhall_model import BackendRecord, EntryRecord
 
 ZONES = ("tx-austin", "tx-waco", "tx-temple")
-MODELS = CallNeed("models")
+MODELS = CallRequirements("models")
 
 
 def servers(count: int = 6) -> list[BackendRecord]:
@@ -72,8 +72,10 @@
     chooser.set_evacuated([], 0.0)
     sent = 0
     while True:
-        need = CallNeed("models", avoid=frozenset({"i-0", "i-2", "i-3", "i-5", "i-4"}))
-        record = chooser.choose(need, 0.1)
+        requirements = CallRequirements(
+            "models", avoid=frozenset({"i-0", "i-2", "i-3", "i-5", "i-4"})
+        )
+        record = chooser.choose(requirements, 0.1)
         if record is None:
             break
         chooser.started(record.server_id, 0.1)
--- a/libs/entry/tarragonhall_entry/_effects.py
+++ b/libs/entry/tarragonhall_entry/_effects.py
@@ -192,14 +192,14 @@
 
 @dataclass(slots=True, frozen=True)
 class DecideRetry:
-    """Decide whether to retry after a failure. Result: `TryAgain` or `GiveUp` of `decisions`.
+    """Decide whether to retry after a failure. Result: `Retry` or `Abandon` of `decisions`.
 
-    `unproven` counts the tries that ran or may have run.
+    `possibly_run` counts the tries that ran or may have run.
     """
 
     failure: Failure
     tries: int
-    unproven: int
+    possibly_run: int
 
 
 @dataclass(slots=True, frozen=True)
--- a/libs/entry/tarragonhall_entry/_flow.py
+++ b/libs/entry/tarragonhall_entry/_flow.py
@@ -12,7 +12,7 @@
 from collections.abc import Generator
 from dataclasses import replace
 
-from tarragonhall_decisions import TryAgain
+from tarragonhall_decisions import Retry
 from tarragonhall_model import (
     AbandonCall,
     CallAbandoned,
@@ -154,7 +154,7 @@
     excluded: set[str] = set()
     attempts = opened.attempts
     tries = 0
-    unproven = 0
+    possibly_run = 0
     while True:
         tries += 1
         if call.slot is not None:
@@ -174,11 +174,11 @@
                 return (yield from _abandon(call, refusal))
             case Failed(failure=failure, proven_not_run=proven_not_run):
                 excluded.add(assigned.server.server_id)
-                unproven += not proven_not_run
+                possibly_run += not proven_not_run
             case _:
                 return outcome
-        decision = yield DecideRetry(failure, tries, unproven)
-        if not isinstance(decision, TryAgain):
+        decision = yield DecideRetry(failure, tries, possibly_run)
+        if not isinstance(decision, Retry):
             return (yield from _abandon(call, _with_detail(decision.refusal, outcome)))
         yield ResetStream()
         if decision.after_s:
@@ -228,7 +228,7 @@
             return (yield from _reopen(call))
         case Failed():
             decision = yield DecideRetry(outcome.failure, 1, 1)
-            if not isinstance(decision, TryAgain):
+            if not isinstance(decision, Retry):
                 return (yield from _abandon(call, _with_detail(decision.refusal, outcome)))
             yield ResetStream()
             return (yield from _reopen(call))
--- a/libs/entry/tarragonhall_entry/_runner.py
+++ b/libs/entry/tarragonhall_entry/_runner.py
@@ -7,7 +7,7 @@
 import eventlet
 import structlog
 from eventlet.semaphore import Semaphore
-from tarragonhall_decisions import Deadline, GiveUp, TryAgain, after_failure
+from tarragonhall_decisions import Abandon, Deadline, Retry, after_failure
 from tarragonhall_model import (
     CallClosed,
     CallSpec,
@@ -271,13 +271,13 @@
             RefusalCode.QUARANTINED, "the request crashed the backend servers that ran it"
         )
 
-    def _decide_retry(self, call: Call, effect: DecideRetry) -> TryAgain | GiveUp:
+    def _decide_retry(self, call: Call, effect: DecideRetry) -> Retry | Abandon:
         self._context.metrics.count("entry.attempt_failed")
         return after_failure(
             effect.failure,
             repeatable=call.spec.repeatable,
             attempts=effect.tries,
-            unproven=effect.unproven,
+            possibly_run=effect.possibly_run,
             deadline=Deadline(call.deadline),
             budget=self._scheduler.retry_budget(call.spec.target),
             now=self._context.monotonic(),
--- a/libs/entry/tarragonhall_entry/_scheduler.py
+++ b/libs/entry/tarragonhall_entry/_scheduler.py
@@ -13,11 +13,11 @@
     Deadline,
     Dropped,
     FairQueue,
-    Need,
     Quarantine,
     QueuedCall,
     RetryBudget,
     Router,
+    RoutingRequest,
     RunTimes,
     subset,
 )
@@ -57,7 +57,7 @@
     queued_at: float
     server: ServerRecord | None = None
     assigned_at: float = 0.0
-    need: Need | None = None
+    routing_request: RoutingRequest | None = None
 
 
 @dataclass(slots=True, frozen=True)
@@ -185,7 +185,7 @@
         assigned = self._assigned_by_id.pop(call.call_id, None)
         if assigned is None:
             return
-        self.router.on_unused(assigned.server.server_id, call.call_id)
+        self.router.on_slot_unused(assigned.server.server_id, call.call_id)
         self.quarantine.on_end(assigned.fingerprint, assigned.server.server_id, False)
         self._queue(call.spec.target).on_end(assigned.queued, 0.0)
 
@@ -213,26 +213,30 @@
             if queued is None:
                 break
             waiting = self._waiting_by_id[queued.call_id]
-            need = self._need(waiting, now)
-            choice = self.router.choose(need, now)
+            routing_request = self._routing_request(waiting, now)
+            choice = self.router.choose(routing_request, now)
             if choice is None:
                 skipped.append(queued)
                 continue
-            assigned.append(self._assign(waiting, need, choice.server, now))
+            assigned.append(self._assign(waiting, routing_request, choice.server, now))
         for queued in skipped:
             queue.requeue(queued)
         return assigned
 
     def _assign(
-        self, waiting: ScheduledCall, need: Need, server: ServerRecord, now: float
+        self,
+        waiting: ScheduledCall,
+        routing_request: RoutingRequest,
+        server: ServerRecord,
+        now: float,
     ) -> WaitOutcome:
         call_id = waiting.queued.call_id
         del self._waiting_by_id[call_id]
         waiting.server = server
-        waiting.need = need
+        waiting.routing_request = routing_request
         waiting.assigned_at = now
         self._assigned_by_id[call_id] = waiting
-        self.router.on_start(server.server_id, call_id, need, now)
+        self.router.on_start(server.server_id, call_id, routing_request, now)
         self.quarantine.on_start(waiting.fingerprint, server.server_id)
         return WaitOutcome(waiting, SlotAssigned(server))
 
@@ -254,12 +258,12 @@
         request_fingerprint = fingerprint(call.org_id, spec.target, spec.body)
         return ScheduledCall(call, request, queued, request_fingerprint, now)
 
-    def _need(self, waiting: ScheduledCall, now: float) -> Need:
+    def _routing_request(self, waiting: ScheduledCall, now: float) -> RoutingRequest:
         call, request = waiting.call, waiting.request
         # Servers on which the call failed are avoided only while the target has another one.
         others = {s.server_id for s in self._servers if call.spec.target in s.serves}
         avoid = request.excluded if others - request.excluded else frozenset()
-        return Need(
+        return RoutingRequest(
             target=call.spec.target,
             program_id=call.program_id,
             prompt_tokens=request.history_tokens,
--- a/libs/entry/tests/flow_tests.py
+++ b/libs/entry/tests/flow_tests.py
@@ -1,6 +1,6 @@
 from __future__ import annotations
 
-from tarragonhall_decisions import GiveUp, TryAgain
+from tarragonhall_decisions import Abandon, Retry
 from tarragonhall_entry._effects import (
     Acknowledge,
     AcquireSlot,
@@ -57,9 +57,9 @@
 
 ANSWER = Answer("done")
 EFFECTS_WITHOUT_RESULT = (ReleaseSlot, RecordEvent, Acknowledge, ResetStream)
-RETRY = TryAgain(0.0)
-GIVE_UP_UNKNOWN = GiveUp(Refusal(RefusalCode.SERVER_FAILED, "may have run", Execution.UNKNOWN))
-GIVE_UP_NOT_RUN = GiveUp(Refusal(RefusalCode.NO_SERVER, "no server"))
+RETRY = Retry(0.0)
+ABANDON_UNKNOWN = Abandon(Refusal(RefusalCode.SERVER_FAILED, "may have run", Execution.UNKNOWN))
+ABANDON_NOT_RUN = Abandon(Refusal(RefusalCode.NO_SERVER, "no server"))
 
 
 def call(repeatable: bool = True) -> Call:
@@ -170,7 +170,7 @@
             (Reattach, LinkLost()),
             (Pause, True),
             (FindServer, None),
-            (DecideRetry, GIVE_UP_UNKNOWN),
+            (DecideRetry, ABANDON_UNKNOWN),
             (CloseCall, closed),
         ],
     )
@@ -187,7 +187,7 @@
             *OPENED,
             *attempt_on("desk-1", LinkLost()),
             (Reattach, Rejected(RejectReason.INCARNATION)),
-            (DecideRetry, GIVE_UP_UNKNOWN),
+            (DecideRetry, ABANDON_UNKNOWN),
             (CloseCall, closed),
         ],
     )
@@ -205,7 +205,7 @@
             (DecideRetry, RETRY),
             *attempt_on("desk-2", NotSent()),
             (DisproveAttempt, CallOpened(2, [])),
-            (DecideRetry, GIVE_UP_NOT_RUN),
+            (DecideRetry, ABANDON_NOT_RUN),
             (AbandonCall, CallAbandoned()),
         ],
     )
--- a/libs/entry/tests/history_tests.py
+++ b/libs/entry/tests/history_tests.py
@@ -11,7 +11,7 @@
 
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
-from tarragonhall_decisions import GiveUp, TryAgain
+from tarragonhall_decisions import Abandon, Retry
 from tarragonhall_entry import _effects as effects
 from tarragonhall_entry._flow import call_flow
 from tarragonhall_model import (
@@ -227,14 +227,14 @@
             return effects.LinkLost()
         return sidecar.end_by_key.get(attempt.key, NOT_YET)
 
-    def decide(self, effect: effects.DecideRetry) -> TryAgain | GiveUp:
+    def decide(self, effect: effects.DecideRetry) -> Retry | Abandon:
         proven = isinstance(effect.failure, Rejected)
         proven = proven or effect.failure is AttemptOutcome.NOT_RUN
         if not proven and not self.spec.repeatable:
-            return GiveUp(Refusal(RefusalCode.SERVER_FAILED, "failed", Execution.UNKNOWN))
+            return Abandon(Refusal(RefusalCode.SERVER_FAILED, "failed", Execution.UNKNOWN))
         if effect.tries > 4 or self.happens(0.1):
-            return GiveUp(Refusal(RefusalCode.SERVER_FAILED, "enough"))
-        return TryAgain(0.0)
+            return Abandon(Refusal(RefusalCode.SERVER_FAILED, "enough"))
+        return Retry(0.0)
 
     def check_not_run(self, result: CallClosed) -> None:
         """Check that a "not run" is true, and that no attempt in flight can make it false."""
--- a/libs/relay/tarragonhall_relay/_call.py
+++ b/libs/relay/tarragonhall_relay/_call.py
@@ -9,7 +9,7 @@
 
 import eventlet
 import structlog
-from tarragonhall_decisions import CallNeed
+from tarragonhall_decisions import CallRequirements
 from tarragonhall_model import BackendRecord, CallType
 
 from tarragonhall_relay._admission import (
@@ -257,8 +257,8 @@
         self._state.chooser.run_times(server.service).stream_ended(run_ms)
 
     def _note_success(self, server: BackendRecord) -> None:
-        need = CallNeed(server.service, self._admitted.facts.parts)
-        self._state.chooser.answered(server.server_id, need)
+        requirements = CallRequirements(server.service, self._admitted.facts.parts)
+        self._state.chooser.answered(server.server_id, requirements)
         self._state.crash_suspects.on_response(self._admitted.fingerprint)
 
     def _note_not_run(self, server: BackendRecord, outcome: NotRun) -> None:
@@ -284,7 +284,7 @@
             return None
         if (
             len(self._slot.may_have_run_on) + 1 >= route.max_attempts
-            or not self._state.retry_budget.has_one()
+            or not self._state.retry_budget.has_retry()
         ):
             return None
         left_s = self._admitted.deadline.at - self._state.monotonic()
--- a/libs/relay/tarragonhall_relay/_call_slot.py
+++ b/libs/relay/tarragonhall_relay/_call_slot.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 import eventlet
-from tarragonhall_decisions import CallNeed, QueuedCall, Tier, urgency_of
+from tarragonhall_decisions import CallRequirements, QueuedCall, Tier, urgency_of
 from tarragonhall_model import BackendRecord, Refusal, RefusalCode
 
 from tarragonhall_relay._admission import STATUS_UNAVAILABLE, AdmittedCall, Rejection, rejection_for
@@ -90,12 +90,12 @@
         if not wait_until(self._state, self._wait_deadline(), self._has_server):
             return self._no_server()
         slots = self._state.slots
-        need = self._need(last_server, prompt_size)
+        requirements = self._requirements(last_server, prompt_size)
         if self._slot is None:
-            result = slots.acquire(self._queued, self._tier, need)
+            result = slots.acquire(self._queued, self._tier, requirements)
         else:
             previous, self._slot = self._slot, None
-            result = slots.reacquire(previous, need)
+            result = slots.reacquire(previous, requirements)
         if isinstance(result, Refusal):
             return self._no_slot(result)
         self._slot = result
@@ -162,10 +162,10 @@
             self._unreachable.clear()
         return False
 
-    def _need(self, last_server: str, prompt_size: int) -> CallNeed:
+    def _requirements(self, last_server: str, prompt_size: int) -> CallRequirements:
         facts, route = self._call.facts, self._call.route
         turns = EXPECTED_TURNS if self._call.starts_program else 1
-        return CallNeed(
+        return CallRequirements(
             self.service,
             facts.parts if route.retained or route.affinity else (),
             facts.object_key if route.affinity else "",
--- a/libs/relay/tarragonhall_relay/_slots.py
+++ b/libs/relay/tarragonhall_relay/_slots.py
@@ -10,7 +10,7 @@
 from eventlet.event import Event
 from tarragonhall_decisions import (
     BackendChooser,
-    CallNeed,
+    CallRequirements,
     Dropped,
     QueuedCall,
     ServiceQueue,
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True)
 class _Waiter:
-    need: CallNeed
+    requirements: CallRequirements
     event: Event = field(default_factory=Event)
     result: Slot | Refusal | None = None
 
@@ -68,23 +68,25 @@
         """Return the refusal of a call that must not start now, before resources are used on it."""
         return self._queue(service).reject_early(call, tier, self._monotonic())
 
-    def acquire(self, call: QueuedCall, tier: Tier, need: CallNeed) -> Slot | Refusal:
+    def acquire(
+        self, call: QueuedCall, tier: Tier, requirements: CallRequirements
+    ) -> Slot | Refusal:
         """Wait for a slot; return it, or the refusal if none comes in time.
 
         The caller must pass the slot to `release`, or to `reacquire` if the server was full.
         """
-        queue = self._queue(need.service)
-        waiter = _Waiter(need)
+        queue = self._queue(requirements.service)
+        waiter = _Waiter(requirements)
         self._waiter_by_id[call.call_id] = waiter
         self._reject(queue.offer(call, tier, self._monotonic()))
         return self._wait(call, waiter)
 
-    def reacquire(self, slot: Slot, need: CallNeed) -> Slot | Refusal:
+    def reacquire(self, slot: Slot, requirements: CallRequirements) -> Slot | Refusal:
         """Exchange the slot for another one after its server did not run the call."""
         self._leave_server(slot)
-        waiter = _Waiter(need)
+        waiter = _Waiter(requirements)
         self._waiter_by_id[slot.queued.call_id] = waiter
-        self._queue(need.service).requeue(slot.queued)
+        self._queue(requirements.service).requeue(slot.queued)
         return self._wait(slot.queued, waiter)
 
     def release(self, slot: Slot) -> None:
@@ -107,7 +109,7 @@
         self._chooser.ended(slot.server.server_id, slot.started_at)
 
     def _wait(self, call: QueuedCall, waiter: _Waiter) -> Slot | Refusal:
-        service = waiter.need.service
+        service = waiter.requirements.service
         try:
             if waiter.result is None:
                 self._dispatch(service)
@@ -125,7 +127,7 @@
         if isinstance(waiter.result, Slot):
             self.release(waiter.result)
             return
-        self._queue(waiter.need.service).remove(call)
+        self._queue(waiter.requirements.service).remove(call)
 
     def _dispatch(self, service: str) -> None:
         """Reject calls that have waited too long and give free slots to the others."""
@@ -137,13 +139,13 @@
             call = queue.take(now)
             if call is None:
                 break
-            need = self._waiter_by_id[call.call_id].need
-            server = self._chooser.choose(need, now)
+            requirements = self._waiter_by_id[call.call_id].requirements
+            server = self._chooser.choose(requirements, now)
             if server is not None:
                 self._grant(call, server, queue, now)
                 continue
             skipped.append(call)
-            if not need.avoid:
+            if not requirements.avoid:
                 # If no server has a free slot for a call that may go anywhere, none has for others.
                 break
         for call in skipped:
