--- a/benchmarks/relay_bench.py
+++ b/benchmarks/relay_bench.py
@@ -23,7 +23,7 @@
 sys.path.insert(0, str(ROOT / "libs" / "relay" / "tests"))
 
 from eventlet.green import socket  # noqa: E402
-from relay_stand_ins import Relay, answer, event, request, stream  # noqa: E402
+from relay_doubles import Relay, answer, event, request, stream  # noqa: E402
 
 CALLS = 2_000
 EVENTS = 17
--- a/libs/relay/tarragonhall_relay/__init__.py
+++ b/libs/relay/tarragonhall_relay/__init__.py
@@ -6,22 +6,22 @@
 from tarragonhall_wire import ControlClient, ProcessContext
 
 from tarragonhall_relay._dialect import (
-    AnswerFacts,
     CallFacts,
     Dialect,
     DispatchFacts,
     Headers,
+    ResponseFacts,
 )
 from tarragonhall_relay._role import RelayRole, RelaySettings
 
 __all__ = [
-    "AnswerFacts",
     "CallFacts",
     "Dialect",
     "DispatchFacts",
     "Headers",
     "RelayRole",
     "RelaySettings",
+    "ResponseFacts",
     "start_relay",
 ]
 
--- a/libs/relay/tarragonhall_relay/_attempt.py
+++ b/libs/relay/tarragonhall_relay/_attempt.py
@@ -11,7 +11,7 @@
 from tarragonhall_relay._admission import AdmittedCall
 from tarragonhall_relay._backend import MAX_EXTRA_RESPONSES, BackendConnection
 from tarragonhall_relay._client import HOP_HEADERS
-from tarragonhall_relay._dialect import AnswerFacts, DispatchFacts, Headers
+from tarragonhall_relay._dialect import DispatchFacts, Headers, ResponseFacts
 from tarragonhall_relay._errors import AnswerTimeoutError, BackendError
 from tarragonhall_relay._state import RelayState
 
@@ -59,7 +59,7 @@
     status: int
     headers: Headers
     connection: BackendConnection
-    facts: AnswerFacts
+    facts: ResponseFacts
 
 
 Outcome = NotRun | MayHaveRun | CompleteResponse | OpenStream
@@ -125,7 +125,7 @@
 
 def _read_response(
     state: RelayState, call: AdmittedCall, connection: BackendConnection
-) -> tuple[Outcome, AnswerFacts]:
+) -> tuple[Outcome, ResponseFacts]:
     head, facts = _read_own_head(state, call, connection)
     headers = [(name, value) for name, value in head.headers if name not in HOP_HEADERS]
     status = head.status_code
@@ -148,7 +148,7 @@
     """Return the head of this call's own response, skipping those of other calls."""
     for _ in range(MAX_EXTRA_RESPONSES):
         head = connection.read_head()
-        facts = state.dialect.read_answer(list(head.headers))
+        facts = state.dialect.read_response(list(head.headers))
         if facts.attempt_id in (None, call.facts.attempt_id):
             return head, facts
         log.warning(
--- a/libs/relay/tarragonhall_relay/_call_turn.py
+++ b/libs/relay/tarragonhall_relay/_call_turn.py
@@ -132,6 +132,6 @@
         call.facts.program_id,
         call.facts.previous_turn,
         call.facts.token_budget,
-        call.facts.most_tokens,
+        call.facts.max_tokens,
         int(call.route.retention_s * 1000),
     )
--- a/libs/relay/tarragonhall_relay/_dialect.py
+++ b/libs/relay/tarragonhall_relay/_dialect.py
@@ -19,7 +19,7 @@
 class CallFacts:
     """Facts from the headers of a client's call. Times are milliseconds from its arrival.
 
-    `attempt_id` is the client's id of this attempt. `most_tokens` limits what the call may
+    `attempt_id` is the client's id of this attempt. `max_tokens` limits what the call may
     generate, `token_budget` what its whole program may. `object_key` names what the call is about.
     """
 
@@ -29,7 +29,7 @@
     program_id: str = ""
     program_deadline_ms: int | None = None
     token_budget: int | None = None
-    most_tokens: int = 0
+    max_tokens: int = 0
     parts: tuple[PromptPart, ...] = ()
     previous_turn: str | None = None
     object_key: str = ""
@@ -46,7 +46,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class AnswerFacts:
+class ResponseFacts:
     """Facts from the headers of a backend server's response.
 
     `not_executed` states that the call did not run and will not. `signed` says that the response
@@ -68,7 +68,7 @@
     def write_call(self, headers: Headers, dispatch: DispatchFacts) -> Headers:
         """Return the headers to send to the backend server."""
 
-    def read_answer(self, headers: Headers) -> AnswerFacts:
+    def read_response(self, headers: Headers) -> ResponseFacts:
         """Return the facts of a backend server's response."""
 
     def read_config(self, document: RelayDocument) -> RelayConfig:
--- a/libs/relay/tests/calls_tests.py
+++ b/libs/relay/tests/calls_tests.py
@@ -4,7 +4,7 @@
 
 import eventlet
 import pytest
-from relay_stand_ins import answer, answers, refuses, request, wait_until
+from relay_doubles import answer, answers, refuses, request, wait_until
 
 
 def closes_connection(_backend, _received):
--- a/libs/relay/tests/clients_tests.py
+++ b/libs/relay/tests/clients_tests.py
@@ -8,7 +8,7 @@
 import eventlet.green.socket
 import pytest
 from eventlet import hubs
-from relay_stand_ins import answer, answers, parse, read_all, request, wait_until
+from relay_doubles import answer, answers, parse, read_all, request, wait_until
 from tarragonhall_model import ClientLimits
 from tarragonhall_relay._client import ClientConnection
 
--- a/libs/relay/tests/conftest.py
+++ b/libs/relay/tests/conftest.py
@@ -9,7 +9,7 @@
 
 sys.path.insert(0, str(Path(__file__).parent))
 
-from relay_stand_ins import Relay  # noqa: E402
+from relay_doubles import Relay  # noqa: E402
 
 
 @pytest.fixture
--- a/libs/relay/tests/home_regions_tests.py
+++ b/libs/relay/tests/home_regions_tests.py
@@ -4,7 +4,7 @@
 
 import dataclasses
 
-from relay_stand_ins import answers, event, stream
+from relay_doubles import answers, event, stream
 from tarragonhall_model import StoreRecord, View
 
 
--- a/libs/relay/tests/relay_stand_ins.py
+++ b/libs/relay/tests/relay_doubles.py
@@ -22,10 +22,10 @@
     WeightedService,
 )
 from tarragonhall_relay import (  # noqa: E402
-    AnswerFacts,
     CallFacts,
     RelayRole,
     RelaySettings,
+    ResponseFacts,
 )
 from tarragonhall_relay._routes import RouteTable  # noqa: E402
 from tarragonhall_relay._turn_store import OpenTurn  # noqa: E402
@@ -59,7 +59,7 @@
             key=by_name.get(b"key"),
             program_id=by_name.get(b"program", ""),
             token_budget=int(budget) if budget else None,
-            most_tokens=int(by_name.get(b"most", "0")),
+            max_tokens=int(by_name.get(b"most", "0")),
             previous_turn=by_name.get(b"previous"),
         )
 
@@ -71,10 +71,10 @@
             written.append((b"org", dispatch.org_id.encode()))
         return written
 
-    def read_answer(self, headers):
+    def read_response(self, headers):
         by_name = dict(headers)
         attempt = by_name.get(b"attempt")
-        return AnswerFacts(
+        return ResponseFacts(
             attempt.decode() if attempt is not None else None,
             b"not-run" in by_name,
             b"signed" in by_name,
--- a/libs/relay/tests/slots_tests.py
+++ b/libs/relay/tests/slots_tests.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import eventlet
-from relay_stand_ins import answer, answers, event, full_until, request, stream, wait_until
+from relay_doubles import answer, answers, event, full_until, request, stream, wait_until
 from tarragonhall_model import Route
 
 # A server with six slots is sent a quarter more calls, rounded up; others wait at the entry.
--- a/libs/relay/tests/turns_tests.py
+++ b/libs/relay/tests/turns_tests.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from relay_stand_ins import answers, event, parse, read_all, refuses, request, stream, wait_until
+from relay_doubles import answers, event, parse, read_all, refuses, request, stream, wait_until
 from tarragonhall_model import (
     BudgetSpent,
     UnknownTurn,
--- a/libs/relay/tests/waiting_tests.py
+++ b/libs/relay/tests/waiting_tests.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import eventlet
-from relay_stand_ins import KEY, answers, event, full_until, stream
+from relay_doubles import KEY, answers, event, full_until, stream
 from tarragonhall_model import (
     BudgetSpent,
     Rate,
