--- a/libs/control/tarragonhall_control/_relay_service.py
+++ b/libs/control/tarragonhall_control/_relay_service.py
@@ -55,7 +55,7 @@
         log.info("relay.published", version=document.version, in_force=result.version)
         return result
 
-    def held(self) -> RelayHeld:
+    def document_in_force(self) -> RelayHeld:
         """Return the document in force, confirmed by a majority; may raise `NoLeaderError`."""
         return self._request(QueryRelay())
 
@@ -65,7 +65,7 @@
         log.info("store.retire", store=store_id, outcome=type(result).__name__)
         return result
 
-    def retirement(self, store_id: str) -> StoreRetiring | Refusal:
+    def retirement_status(self, store_id: str) -> StoreRetiring | Refusal:
         """Return the progress of a store's retirement; may raise `NoLeaderError`."""
         return self._request(QueryRetired(store_id))
 
--- a/libs/control/tests/relay_tests.py
+++ b/libs/control/tests/relay_tests.py
@@ -44,7 +44,7 @@
     assert roles[2].relay.publish(document(3)).version == 7
     assert roles[2].relay.publish(dataclasses.replace(document(7), compressed=b"x")).version == 7
     for role in roles:
-        assert role.relay.held().document == document(7)
+        assert role.relay.document_in_force().document == document(7)
 
 
 def test_followers_get_new_documents_and_ignore_older_ones(start_group):
@@ -67,7 +67,7 @@
     for name in ("one", "two", "three"):
         group.start(name)
     group.wait_until(group.leader)
-    assert group.role_by_name["two"].relay.held().document == document(9)
+    assert group.role_by_name["two"].relay.document_in_force().document == document(9)
 
 
 def test_member_without_majority_returns_no_document(start_group):
@@ -78,7 +78,7 @@
     group.stop("two")
     group.stop("three")
     with pytest.raises(NoLeaderError):
-        group.role_by_name["one"].relay.held()
+        group.role_by_name["one"].relay.document_in_force()
     with pytest.raises(NoLeaderError):
         group.role_by_name["one"].relay.publish(document(2))
 
--- a/libs/store/tests/role_tests.py
+++ b/libs/store/tests/role_tests.py
@@ -109,7 +109,7 @@
     assert len(deployment.voters()) == 3
     leader = deployment.leader()
     assert not role.relay.retire(leader).done
-    deployment.until(lambda: role.relay.retirement(leader).done, 12.0)
+    deployment.until(lambda: role.relay.retirement_status(leader).done, 12.0)
     deployment.stop_store(leader)
     deployment.until(lambda: deployment.leader() is not None)
     assert leader not in deployment.voters()
