--- a/libs/decisions/tarragonhall_decisions/__init__.py
+++ b/libs/decisions/tarragonhall_decisions/__init__.py
@@ -7,7 +7,7 @@
 _NAMES_BY_MODULE = {
     "_backend_choice": (
         "BackendChooser",
-        "CallNeed",
+        "CallRequirements",
         "PromptPart",
     ),
     "_bucket": (
@@ -42,34 +42,34 @@
     ),
     "_home_regions": (
         "home_zones",
-        "stays_home",
+        "stays_in_regions",
     ),
     "_load_digest": (
         "LoadDigest",
-        "LoadTo",
+        "AddressedLoad",
     ),
     "_model_orders": (
         "EngineState",
-        "LOADS_AT_ONCE",
+        "MAX_CONCURRENT_LOADS",
         "LoadOrder",
         "ModelDemand",
         "ModelOrders",
     ),
-    "_place_queue": (
-        "PlaceQueue",
+    "_service_queue": (
+        "ServiceQueue",
         "Tier",
     ),
     "_quarantine": (
         "Quarantine",
-        "charged_by_crash",
+        "suspects_of_crash",
     ),
     "_rate": (
-        "Ask",
+        "TokenRequest",
         "LEASE_S",
         "OWNERSHIP_S",
         "RateLimiter",
         "RateOutput",
-        "Tell",
+        "PeerMessage",
     ),
     "_rate_holder": (
         "Admitted",
@@ -89,26 +89,26 @@
     ),
     "_retry": (
         "Failure",
-        "GiveUp",
+        "Abandon",
         "LinkLost",
         "Proof",
         "RetryBudget",
-        "TryAgain",
+        "Retry",
         "after_failure",
         "backoff_s",
         "proof_of",
     ),
     "_routing": (
-        "Need",
+        "RoutingRequest",
         "RouteChoice",
         "Router",
         "subset",
     ),
-    "_silent_servers": ("SilentServers",),
-    "_spent_programs": ("SpentPrograms",),
-    "_store_founding": (
-        "LossesBorne",
-        "StoreFounding",
+    "_unresponsive_servers": ("UnresponsiveServers",),
+    "_exhausted_programs": ("ExhaustedPrograms",),
+    "_store_bootstrap": (
+        "ToleratedLosses",
+        "StoreBootstrap",
     ),
     "_urgency": ("urgency_of",),
 }
--- a/libs/decisions/tarragonhall_decisions/_in_service.py
+++ b/libs/decisions/tarragonhall_decisions/_in_service.py
@@ -17,7 +17,7 @@
     call_id: str
     cost: float
     run_s: float
-    taken: float
+    dequeued_at: float
 
 
 class InService:
@@ -44,6 +44,6 @@
         calls of a lost server are removed.
         """
         return sum(
-            call.cost / max(call.run_s, now - call.taken, MIN_RUN_S)
+            call.cost / max(call.run_s, now - call.dequeued_at, MIN_RUN_S)
             for call in self._by_id.values()
         )
--- a/libs/relay/tarragonhall_relay/_admission.py
+++ b/libs/relay/tarragonhall_relay/_admission.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 import structlog
-from tarragonhall_decisions import Deadline, home_zones, stays_home
+from tarragonhall_decisions import Deadline, home_zones, stays_in_regions
 from tarragonhall_model import (
     InputError,
     Refusal,
@@ -106,7 +106,7 @@
         limit_ms = min(limit_ms, facts.deadline_ms)
     deadline = Deadline(arrived_at + limit_ms / 1000)
     request_fingerprint = _fingerprint(request, organisation)
-    if state.crash_suspects.is_barred(request_fingerprint, state.monotonic()):
+    if state.crash_suspects.is_quarantined(request_fingerprint, state.monotonic()):
         message = "the request crashed every backend server that ran it"
         return Rejection(
             STATUS_UNAVAILABLE, RefusalCode.QUARANTINED.value, message, QUARANTINED_RETRY_S
@@ -126,13 +126,13 @@
     if call.organisation is None or call.organisation.rate is None:
         return None
     starts_program = call.starts_program
-    if starts_program and state.rates.is_dry(call.organisation.org_id):
+    if starts_program and state.rates.is_exhausted(call.organisation.org_id):
         message = "the organisation is over its rate; running programs go first"
         return Rejection(429, RefusalCode.RATE_EXCEEDED.value, message, NEW_PROGRAM_RETRY_S)
     program_started = bool(call.facts.program_id) and not starts_program
     # Clients choose attempt ids, and two calls at a time could carry the same one.
     call_id = f"{call.facts.attempt_id}/{id(call)}"
-    run_s = state.chooser.pace(service).run_of_s(call.route.name)
+    run_s = state.chooser.run_times(service).mean_run_s(call.route.name)
     refusal = state.rates.take(
         call.organisation.org_id, call_id, call.deadline, program_started, run_s
     )
@@ -151,7 +151,7 @@
 def return_rate_token(state: RelayState, call: AdmittedCall) -> None:
     """Return the token of a call that certainly did not run: a rate limits calls that run."""
     if call.organisation is not None and call.organisation.rate is not None:
-        state.rates.give_back(call.organisation.org_id)
+        state.rates.return_token(call.organisation.org_id)
 
 
 def rejection_for(refusal: Refusal) -> Rejection:
@@ -169,7 +169,9 @@
     """Return whether the turns of a route are stored in its home regions only."""
     if not route.retained:
         return True
-    return stays_home(state.store_zones(), homes, state.availability_zone, state.region_by_zone)
+    return stays_in_regions(
+        state.store_zones(), homes, state.availability_zone, state.region_by_zone
+    )
 
 
 def _home_region_rejection(message: str) -> Rejection:
--- a/libs/relay/tarragonhall_relay/_call.py
+++ b/libs/relay/tarragonhall_relay/_call.py
@@ -9,7 +9,7 @@
 
 import eventlet
 import structlog
-from tarragonhall_decisions import CallNeed
+from tarragonhall_decisions import CallRequirements
 from tarragonhall_model import BackendRecord, CallType
 
 from tarragonhall_relay._admission import (
@@ -247,17 +247,19 @@
         now = self._state.monotonic()
         kind = self._admitted.route.name
         run_ms = self._slot.held_ms(now)
-        self._state.chooser.pace(server.service).call_ended(server.server_id, kind, run_ms, now)
+        self._state.chooser.run_times(server.service).call_ended(
+            server.server_id, kind, run_ms, now
+        )
 
     def _record_stream_time(self, server: BackendRecord) -> None:
         """Record how long a stream held its slot, for the choice of servers."""
         run_ms = self._slot.held_ms(self._state.monotonic())
-        self._state.chooser.pace(server.service).stream_ended(run_ms)
+        self._state.chooser.run_times(server.service).stream_ended(run_ms)
 
     def _note_success(self, server: BackendRecord) -> None:
-        need = CallNeed(server.service, self._admitted.facts.parts)
-        self._state.chooser.answered(server.server_id, need)
-        self._state.crash_suspects.answered(self._admitted.fingerprint)
+        requirements = CallRequirements(server.service, self._admitted.facts.parts)
+        self._state.chooser.answered(server.server_id, requirements)
+        self._state.crash_suspects.on_response(self._admitted.fingerprint)
 
     def _note_not_run(self, server: BackendRecord, outcome: NotRun) -> None:
         if outcome.full:
@@ -282,18 +284,20 @@
             return None
         if (
             len(self._slot.may_have_run_on) + 1 >= route.max_attempts
-            or not self._state.retry_budget.has_one()
+            or not self._state.retry_budget.has_retry()
         ):
             return None
         left_s = self._admitted.deadline.at - self._state.monotonic()
-        return self._state.chooser.pace(server.service).patience_s(route.name, left_s)
+        return self._state.chooser.run_times(server.service).answer_timeout_s(route.name, left_s)
 
     def _note_failure(self, server: BackendRecord, reason: str, timed_out: bool = False) -> None:
         self._slot.note_failure()
         if timed_out:
             self._state.retry_budget.take()
         else:
-            self._state.crash_suspects.broke(self._admitted.fingerprint, self._state.monotonic())
+            self._state.crash_suspects.on_broken_run(
+                self._admitted.fingerprint, self._state.monotonic()
+            )
             self._state.report_suspect(self._admitted.fingerprint)
         self._state.metrics.count("relay.may_have_run")
         log.info(
--- a/libs/relay/tarragonhall_relay/_followers.py
+++ b/libs/relay/tarragonhall_relay/_followers.py
@@ -8,7 +8,7 @@
 
 import eventlet
 import structlog
-from tarragonhall_decisions import BackendTable, LoadDigest, LoadTo
+from tarragonhall_decisions import AddressedLoad, BackendTable, LoadDigest
 from tarragonhall_model import (
     BackendsChanged,
     EntryLoad,
@@ -110,7 +110,7 @@
         if self.view.epoch >= fresh.view_epoch:
             self._state.chooser.cold.confirm(sent_at)
         if self.is_fresh(self._context.monotonic()):
-            self._state.rates.on_fresh(sent_at)
+            self._state.rates.renew_lease(sent_at)
 
     def _set_cold_limits(self, config: RelayConfig) -> None:
         slack = self._state.cold_slack
@@ -215,14 +215,14 @@
     def _on_exhausted(self, _link: Link, message: ProgramSpent) -> None:
         retention_s = message.retention_ms / 1000
         now = self._context.monotonic()
-        self._state.exhausted_programs.note(
+        self._state.exhausted_programs.record_usage(
             message.org_id, message.program_id, message.spent, retention_s, now
         )
 
     def _on_suspect(self, _link: Link, message: SuspectCall) -> None:
-        self._state.crash_suspects.broke(message.fingerprint, self._context.monotonic())
+        self._state.crash_suspects.on_broken_run(message.fingerprint, self._context.monotonic())
 
-    def _send_all(self, messages: list[LoadTo]) -> None:
+    def _send_all(self, messages: list[AddressedLoad]) -> None:
         for one in messages:
             self._send(one.address, one.message)
 
--- a/libs/relay/tarragonhall_relay/_slots.py
+++ b/libs/relay/tarragonhall_relay/_slots.py
@@ -10,10 +10,10 @@
 from eventlet.event import Event
 from tarragonhall_decisions import (
     BackendChooser,
-    CallNeed,
+    CallRequirements,
     Dropped,
-    PlaceQueue,
     QueuedCall,
+    ServiceQueue,
     Tier,
 )
 from tarragonhall_model import BackendRecord, Refusal
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True)
 class _Waiter:
-    need: CallNeed
+    requirements: CallRequirements
     event: Event = field(default_factory=Event)
     result: Slot | Refusal | None = None
 
@@ -57,7 +57,7 @@
         self._rng = rng
         self._monotonic = monotonic
         self._polling: set[str] = set()
-        self._queue_by_service: dict[str, PlaceQueue] = {}
+        self._queue_by_service: dict[str, ServiceQueue] = {}
         self._waiter_by_id: dict[str, _Waiter] = {}
 
     def waiting(self) -> int:
@@ -66,25 +66,27 @@
 
     def reject_early(self, service: str, call: QueuedCall, tier: Tier) -> Refusal | None:
         """Return the refusal of a call that must not start now, before resources are used on it."""
-        return self._queue(service).turn_away(call, tier, self._monotonic())
+        return self._queue(service).reject_early(call, tier, self._monotonic())
 
-    def acquire(self, call: QueuedCall, tier: Tier, need: CallNeed) -> Slot | Refusal:
+    def acquire(
+        self, call: QueuedCall, tier: Tier, requirements: CallRequirements
+    ) -> Slot | Refusal:
         """Wait for a slot; return it, or the refusal if none comes in time.
 
         The caller must pass the slot to `release`, or to `reacquire` if the server was full.
         """
-        queue = self._queue(need.service)
-        waiter = _Waiter(need)
+        queue = self._queue(requirements.service)
+        waiter = _Waiter(requirements)
         self._waiter_by_id[call.call_id] = waiter
         self._reject(queue.offer(call, tier, self._monotonic()))
         return self._wait(call, waiter)
 
-    def reacquire(self, slot: Slot, need: CallNeed) -> Slot | Refusal:
+    def reacquire(self, slot: Slot, requirements: CallRequirements) -> Slot | Refusal:
         """Exchange the slot for another one after its server did not run the call."""
         self._leave_server(slot)
-        waiter = _Waiter(need)
+        waiter = _Waiter(requirements)
         self._waiter_by_id[slot.queued.call_id] = waiter
-        self._queue(need.service).give_back(slot.queued)
+        self._queue(requirements.service).requeue(slot.queued)
         return self._wait(slot.queued, waiter)
 
     def release(self, slot: Slot) -> None:
@@ -96,14 +98,18 @@
 
     def note_response(self, slot: Slot) -> None:
         """Record that the server of a slot has begun to respond."""
-        self._chooser.silent.answered(slot.server.server_id, slot.queued.call_id, self._monotonic())
+        self._chooser.unresponsive.answered(
+            slot.server.server_id, slot.queued.call_id, self._monotonic()
+        )
 
     def _leave_server(self, slot: Slot) -> None:
-        self._chooser.silent.left(slot.server.server_id, slot.queued.call_id, self._monotonic())
+        self._chooser.unresponsive.on_left(
+            slot.server.server_id, slot.queued.call_id, self._monotonic()
+        )
         self._chooser.ended(slot.server.server_id, slot.started_at)
 
     def _wait(self, call: QueuedCall, waiter: _Waiter) -> Slot | Refusal:
-        service = waiter.need.service
+        service = waiter.requirements.service
         try:
             if waiter.result is None:
                 self._dispatch(service)
@@ -121,7 +127,7 @@
         if isinstance(waiter.result, Slot):
             self.release(waiter.result)
             return
-        self._queue(waiter.need.service).remove(call)
+        self._queue(waiter.requirements.service).remove(call)
 
     def _dispatch(self, service: str) -> None:
         """Reject calls that have waited too long and give free slots to the others."""
@@ -133,24 +139,24 @@
             call = queue.take(now)
             if call is None:
                 break
-            need = self._waiter_by_id[call.call_id].need
-            server = self._chooser.choose(need, now)
+            requirements = self._waiter_by_id[call.call_id].requirements
+            server = self._chooser.choose(requirements, now)
             if server is not None:
                 self._grant(call, server, queue, now)
                 continue
             skipped.append(call)
-            if not need.avoid:
+            if not requirements.avoid:
                 # If no server has a free slot for a call that may go anywhere, none has for others.
                 break
         for call in skipped:
-            queue.give_back(call)
+            queue.requeue(call)
 
     def _grant(
-        self, call: QueuedCall, server: BackendRecord, queue: PlaceQueue, now: float
+        self, call: QueuedCall, server: BackendRecord, queue: ServiceQueue, now: float
     ) -> None:
-        self._chooser.silent.sent(server, call.call_id, now)
+        self._chooser.unresponsive.sent(server, call.call_id, now)
         self._chooser.started(server.server_id, now)
-        queue.placed(call)
+        queue.on_slot_assigned(call)
         self._waiter_by_id.pop(call.call_id).resolve(Slot(server, now, call))
 
     def _reject(self, dropped: list[Dropped]) -> None:
@@ -170,9 +176,9 @@
         finally:
             self._polling.discard(service)
 
-    def _queue(self, service: str) -> PlaceQueue:
+    def _queue(self, service: str) -> ServiceQueue:
         queue = self._queue_by_service.get(service)
         if queue is None:
-            queue = PlaceQueue(self._rng)
+            queue = ServiceQueue(self._rng)
             self._queue_by_service[service] = queue
         return queue
