--- a/benchmarks/sidecar_bench.py
+++ b/benchmarks/sidecar_bench.py
@@ -36,7 +36,12 @@
     LoadReport,
 )
 from tarragonhall_state import Follower  # noqa: E402
-from tarragonhall_wire import ControlClient, make_context, make_metrics, set_up_logs  # noqa: E402
+from tarragonhall_wire import (  # noqa: E402
+    ControlClient,
+    configure_logging,
+    make_context,
+    make_metrics,
+)
 
 SECRET = "0123456789abcdef" * 4
 TICKS = os.sysconf("SC_CLK_TCK")
@@ -71,7 +76,7 @@
 
     def start(self, slots: int) -> None:
         """Start control and entry here, and engine and sidecar as processes."""
-        set_up_logs("bench", "error")
+        configure_logging("bench", "error")
         metrics = make_metrics(None, 0, "bench")
         self.context = make_context(
             "bench", "tx-austin", self.control_address, [self.control_address], SECRET.encode(),
@@ -90,7 +95,7 @@
         self.engine = LocalProcess(engine, self.folder / "engine.log")
         daemon = [script("tarragonhalld"), "--settings", str(self._settings_file(slots))]
         self.sidecar = LocalProcess(daemon, self.folder / "sidecar.log")
-        self.link = self.context.hub.wait_for(self.sidecar_address, 15)
+        self.link = self.context.hub.wait_for_link(self.sidecar_address, 15)
         while not self.incarnation:
             eventlet.sleep(0.1)
 
--- a/features/environment.py
+++ b/features/environment.py
@@ -8,10 +8,10 @@
 
 eventlet.monkey_patch()
 
-from tarragonhall_wire import set_up_logs  # noqa: E402
+from tarragonhall_wire import configure_logging  # noqa: E402
 
 # The processes write their own logs; here only what a scenario prints is of interest.
-set_up_logs("features", "error")
+configure_logging("features", "error")
 logging.getLogger("websockets").setLevel(logging.ERROR)
 
 
--- a/features/steps/links_steps.py
+++ b/features/steps/links_steps.py
@@ -24,7 +24,7 @@
 @then("no link opens within {seconds:d} second")
 def no_link(context, seconds):
     try:
-        context.dialler.wait_for(context.address, seconds)
+        context.dialler.wait_for_link(context.address, seconds)
     except LinkClosedError:
         return
     raise AssertionError("the link opened")
--- a/libs/control/tarragonhall_control/_admin.py
+++ b/libs/control/tarragonhall_control/_admin.py
@@ -76,7 +76,7 @@
                 "no leader is known; send the request again with the same request id"
             )
         try:
-            link = self._member.context.hub.wait_for(address, 1.0)
+            link = self._member.context.hub.wait_for_link(address, 1.0)
             return link.request(call, FORWARD_TIMEOUT_SECONDS)
         except (LinkError, RequestTimeoutError) as error:
             return _unavailable(f"the leader did not answer ({error}); send the request again")
--- a/libs/control/tarragonhall_control/_backend_service.py
+++ b/libs/control/tarragonhall_control/_backend_service.py
@@ -64,7 +64,7 @@
         hub = self._member.context.hub
         hub.handle(FollowBackends, self._on_follow)
         hub.handle(AdoptBackend, self._on_adopt)
-        hub.on_down(self._on_link_down)
+        hub.on_link_closed(self._on_link_down)
         eventlet.spawn_n(self._check_loop)
 
     def stop(self) -> None:
--- a/libs/control/tarragonhall_control/_first_operator.py
+++ b/libs/control/tarragonhall_control/_first_operator.py
@@ -86,7 +86,7 @@
     if address is None:
         return None
     try:
-        link = member.context.hub.wait_for(address, REQUEST_TIMEOUT_SECONDS)
+        link = member.context.hub.wait_for_link(address, REQUEST_TIMEOUT_SECONDS)
         reply = link.request(Propose(request_id, command), REQUEST_TIMEOUT_SECONDS)
     except LinkError:
         return None
--- a/libs/control/tarragonhall_control/_member.py
+++ b/libs/control/tarragonhall_control/_member.py
@@ -112,8 +112,8 @@
 
     def start(self) -> None:
         """Join the group and start the periodic tasks of the leader."""
-        self.context.hub.on_down(self._on_link_down)
-        self.context.hub.on_up(lambda link: self.nodes.link_opened(link.peer.incarnation))
+        self.context.hub.on_link_closed(self._on_link_down)
+        self.context.hub.on_link_open(lambda link: self.nodes.link_opened(link.peer.incarnation))
         self.group.start()
         eventlet.spawn_n(
             self._repeat_as_leader, NODE_CHECK_SECONDS, self._remove_unresponsive_nodes
--- a/libs/control/tests/orders_tests.py
+++ b/libs/control/tests/orders_tests.py
@@ -42,7 +42,7 @@
     def request(self, order: EngineOrder):
         """Send an order like a process that still considers itself the leader."""
         context, _client = self.group.client("former")
-        return context.hub.wait_for(self.context.link_address, 2).request(order, 4)
+        return context.hub.wait_for_link(self.context.link_address, 2).request(order, 4)
 
     def announced(self):
         """Return this server's record in the leader's view."""
--- a/libs/control/tests/relay_tests.py
+++ b/libs/control/tests/relay_tests.py
@@ -30,7 +30,7 @@
     context, client = group.client(name)
     node = EntryRecord(name, context.incarnation, context.link_address, "tx-waco")
     follower = Follower()
-    client.follow(lambda: node, follower, takes_relay=True)
+    client.follow(lambda: node, follower, include_relay=True)
     return follower
 
 
@@ -90,7 +90,7 @@
     context, _client = group.client("entry-1")
     received = []
     context.hub.handle(BackendsChanged, lambda _link, message: received.extend(message.records))
-    link = context.hub.wait_for(group.address_by_name["three"], 2.0)
+    link = context.hub.wait_for_link(group.address_by_name["three"], 2.0)
     reply = link.request(FollowBackends(), 1.0)
     assert reply == BackendsKnown(0, True, [])
     one = group.role_by_name["one"].backends
--- a/libs/control/tests/role_tests.py
+++ b/libs/control/tests/role_tests.py
@@ -55,8 +55,8 @@
     body = OpenProgram("prog-1", "school", Budget(), 60)
     info = client.propose(body, WAIT_SECONDS, "req-1")
     assert isinstance(info, ProgramInfo)
-    assert client.ask(QueryProgram("prog-1", "school"), WAIT_SECONDS).info == info
-    known = client.ask(QueryExecution("prog-1", 1), WAIT_SECONDS)
+    assert client.request(QueryProgram("prog-1", "school"), WAIT_SECONDS).info == info
+    known = client.request(QueryExecution("prog-1", 1), WAIT_SECONDS)
     assert known == ExecutionKnown(Execution.NOT_RUN)
     status, listed = group.admin()("GET", "/programs?status=open")
     assert [program["program_id"] for program in listed["programs"]] == ["prog-1"]
--- a/libs/daemon/tarragonhall_daemon/_run.py
+++ b/libs/daemon/tarragonhall_daemon/_run.py
@@ -11,11 +11,11 @@
     ControlClient,
     ProcessContext,
     Role,
+    configure_logging,
     make_context,
     make_metrics,
-    report_regularly,
     report_traffic,
-    set_up_logs,
+    report_traffic_loop,
 )
 
 from tarragonhall_daemon._settings import DaemonSettings, read_secret
@@ -27,12 +27,12 @@
 
 def run_daemon(settings: DaemonSettings) -> int:
     """Run until a stop signal; return the exit code."""
-    log_writer = set_up_logs(settings.instance, settings.log_level)
+    log_writer = configure_logging(settings.instance, settings.log_level)
     stop = _stop_event()
     context = _context(settings)
     roles = start_roles(settings, context)
     log.info("daemon.started", roles=[name for name, _role in roles])
-    eventlet.spawn_n(report_regularly, context.hub.traffic, context.incarnation)
+    eventlet.spawn_n(report_traffic_loop, context.hub.traffic, context.incarnation)
     signal_number = stop.wait()
     log.info("daemon.stopping", signal=signal.Signals(signal_number).name)
     signal.signal(signal.SIGTERM, _exit_on_second_signal)
--- a/libs/entry/tarragonhall_entry/_api.py
+++ b/libs/entry/tarragonhall_entry/_api.py
@@ -137,7 +137,7 @@
     def show_program(self, request: HttpRequest) -> HttpResponse:
         """Return a program with its closed calls."""
         _, organisation = self._authenticate(request)
-        query = QueryProgram(request.parts["program_id"], organisation.org_id)
+        query = QueryProgram(request.path_params["program_id"], organisation.org_id)
         report = self._query(query)
         if not isinstance(report, ProgramReport):
             raise TypeError(f"unexpected reply {type(report).__name__}")
@@ -154,7 +154,7 @@
     def show_call(self, request: HttpRequest) -> HttpResponse:
         """Return the recorded result of a call, or 202 while it runs."""
         _, organisation = self._authenticate(request)
-        program_id, seq = request.parts["program_id"], _seq(request.parts["seq"])
+        program_id, seq = request.path_params["program_id"], _seq(request.path_params["seq"])
         state = self._query(QueryCall(program_id, seq, organisation.org_id))
         match state:
             case CallClosed():
@@ -170,8 +170,8 @@
         key_hash, organisation = self._authenticate_call(request)
         spec = load_call(request.json(), self._follower.model_by_name)
         call = Call(
-            call_id=f"{request.parts['program_id']}/{spec.seq}/{next(self._call_numbers)}",
-            program_id=request.parts["program_id"],
+            call_id=f"{request.path_params['program_id']}/{spec.seq}/{next(self._call_numbers)}",
+            program_id=request.path_params["program_id"],
             org_id=organisation.org_id,
             key_hash=key_hash,
             spec=spec,
@@ -228,7 +228,7 @@
             seq = None
         if seq is None:
             return Execution.UNKNOWN
-        return self._runner.query_execution(request.parts["program_id"], seq)
+        return self._runner.query_execution(request.path_params["program_id"], seq)
 
     def _authenticate(self, request: HttpRequest):
         self._wait_until_fresh()
@@ -249,7 +249,7 @@
 
     def _end(self, request: HttpRequest, status: ProgramStatus) -> HttpResponse:
         _, organisation = self._authenticate(request)
-        program_id = request.parts["program_id"]
+        program_id = request.path_params["program_id"]
         info = self._commit(EndProgram(program_id, organisation.org_id, status))
         self._context.timeline.add(f"program.{info.status.value}", program_id)
         self.on_program_ended(info)
@@ -266,7 +266,7 @@
 
     def _query(self, query: object) -> object:
         try:
-            reply = self._control.ask(query, CONTROL_TIMEOUT_SECONDS)
+            reply = self._control.request(query, CONTROL_TIMEOUT_SECONDS)
         except UnavailableError as error:
             raise RefusedError(_unavailable(error)) from error
         if isinstance(reply, Refusal):
--- a/libs/entry/tarragonhall_entry/_dispatcher.py
+++ b/libs/entry/tarragonhall_entry/_dispatcher.py
@@ -44,7 +44,7 @@
         self._inbox_by_key: dict[str, LightQueue] = {}
         context.hub.handle(Chunk, self._attempts.on_chunk)
         context.hub.handle(AttemptEnded, self._on_ended)
-        context.hub.on_down(lambda link: self._attempts.on_link_lost(link, LinkLost()))
+        context.hub.on_link_closed(lambda link: self._attempts.on_link_lost(link, LinkLost()))
 
     def find_server(self, attempt: AttemptId) -> ServerRecord | None:
         """Return the server incarnation that an attempt went to, or None if not in the view."""
@@ -56,7 +56,7 @@
     def dispatch(self, running: RunningCall, server: ServerRecord, message: Dispatch) -> object:
         """Send a dispatch; return the sidecar's reply, `NotSent` or `LinkLost`."""
         try:
-            link = self._context.hub.wait_for(server.address, LINK_TIMEOUT_SECONDS)
+            link = self._context.hub.wait_for_link(server.address, LINK_TIMEOUT_SECONDS)
         except LinkError:
             return NotSent()
         self._watch(running, message.attempt, link)
@@ -75,7 +75,7 @@
         if server is None:
             return LinkLost()
         try:
-            link = self._context.hub.wait_for(server.address, LINK_TIMEOUT_SECONDS)
+            link = self._context.hub.wait_for_link(server.address, LINK_TIMEOUT_SECONDS)
             self._watch(running, attempt, link)
             return link.request(Attach(attempt), ACCEPT_TIMEOUT_SECONDS)
         except LinkError:
@@ -101,7 +101,7 @@
         if server is None:
             return
         try:
-            link = self._context.hub.wait_for(server.address, LINK_TIMEOUT_SECONDS)
+            link = self._context.hub.wait_for_link(server.address, LINK_TIMEOUT_SECONDS)
             link.request(CancelAttempt(attempt), ACCEPT_TIMEOUT_SECONDS)
         except LinkError:
             self._context.metrics.count("entry.send_failed")
--- a/libs/entry/tarragonhall_entry/_follower.py
+++ b/libs/entry/tarragonhall_entry/_follower.py
@@ -63,7 +63,7 @@
         retained.update(self._context.control_addresses)
         members = [*before.servers, *before.entries]
         for address in {member.address for member in members} - retained:
-            self._context.hub.forget(address)
+            self._context.hub.disconnect(address)
 
     def _dial(self, address: str) -> None:
         try:
--- a/libs/entry/tarragonhall_entry/_program_cleanup.py
+++ b/libs/entry/tarragonhall_entry/_program_cleanup.py
@@ -55,7 +55,7 @@
     def _stop_running(self, info: ProgramInfo) -> None:
         for seq in (info.next_seq, info.next_seq - 1):
             try:
-                state = self._control.ask(
+                state = self._control.request(
                     QueryCall(info.program_id, seq, info.org_id), QUERY_TIMEOUT_SECONDS
                 )
             except UnavailableError:
--- a/libs/entry/tarragonhall_entry/_runner.py
+++ b/libs/entry/tarragonhall_entry/_runner.py
@@ -220,7 +220,7 @@
         if not self._query_semaphore.acquire(timeout=QUERY_TIMEOUT_SECONDS):
             return Unavailable("too many concurrent queries")
         try:
-            return self._control.ask(query, QUERY_TIMEOUT_SECONDS)
+            return self._control.request(query, QUERY_TIMEOUT_SECONDS)
         except UnavailableError as error:
             return Unavailable(str(error))
         finally:
@@ -234,7 +234,7 @@
             return Execution.UNKNOWN
         self._unauthenticated_queries += 1
         try:
-            reply = self._control.ask(QueryExecution(program_id, seq), QUERY_TIMEOUT_SECONDS)
+            reply = self._control.request(QueryExecution(program_id, seq), QUERY_TIMEOUT_SECONDS)
         except UnavailableError:
             return Execution.UNKNOWN
         finally:
--- a/libs/entry/tarragonhall_entry/_slot_queue.py
+++ b/libs/entry/tarragonhall_entry/_slot_queue.py
@@ -43,7 +43,7 @@
         self._event_by_id: dict[str, Event] = {}
         self._stopped = False
         context.hub.handle(LoadReport, self._on_report)
-        context.hub.on_down(lambda link: scheduler.on_link_down(link.peer.address))
+        context.hub.on_link_closed(lambda link: scheduler.on_link_down(link.peer.address))
         eventlet.spawn_n(self._sweep_loop)
 
     def acquire(self, call: Call, request: AcquireSlot) -> SlotAssigned | Refusal:
--- a/libs/entry/tests/conftest.py
+++ b/libs/entry/tests/conftest.py
@@ -83,23 +83,23 @@
     def __init__(self) -> None:
         self.handler_by_class = {}
         self.link_by_address = {}
-        self.on_down_callbacks = []
+        self.on_link_closed_callbacks = []
 
     def handle(self, message_class, handler) -> None:
         self.handler_by_class[message_class] = handler
 
-    def on_down(self, callback) -> None:
-        self.on_down_callbacks.append(callback)
+    def on_link_closed(self, callback) -> None:
+        self.on_link_closed_callbacks.append(callback)
 
     def link_to(self, address):
         if address not in self.link_by_address:
             raise LinkClosedError("no link")
         return self.link_by_address[address]
 
-    def forget(self, address) -> None:
+    def disconnect(self, address) -> None:
         self.link_by_address.pop(address, None)
 
-    def wait_for(self, address, _timeout_s):
+    def wait_for_link(self, address, _timeout_s):
         return self.link_to(address)
 
     def deliver(self, link, message) -> None:
@@ -107,7 +107,7 @@
 
     def cut(self, address) -> None:
         link = self.link_by_address.pop(address)
-        for callback in self.on_down_callbacks:
+        for callback in self.on_link_closed_callbacks:
             callback(link)
 
 
@@ -167,7 +167,7 @@
                 return CallAbandoned()
         raise AssertionError(body)
 
-    def ask(self, query, _timeout_s):
+    def request(self, query, _timeout_s):
         self.queries.append(query)
         if isinstance(query, QueryExecution):
             known = (query.program_id, query.seq) in self.call_by_name
--- a/libs/entry/tests/role_tests.py
+++ b/libs/entry/tests/role_tests.py
@@ -109,22 +109,22 @@
 def test_concurrent_queries_for_requests_without_a_valid_key_are_limited(entry):
     # Somebody guesses keys at a high rate. One query for each request would overload control.
     released = Event()
-    asked = []
+    requested = []
 
-    def ask(question, _timeout_s):
-        asked.append(question)
+    def request(question, _timeout_s):
+        requested.append(question)
         released.wait()
         return ExecutionKnown(Execution.NOT_RUN)
 
-    entry.control.ask = ask
+    entry.control.request = request
     held = [eventlet.spawn(entry.call, 1, key="thk_guess") for _ in range(4)]
     with eventlet.Timeout(5):
-        while len(asked) < 4:
+        while len(requested) < 4:
             eventlet.sleep(0.005)
     assert entry.call(1, key="thk_guess").json()["execution"] == "unknown"
     released.send()
     assert [one.wait().json()["execution"] for one in held] == ["not_run"] * 4
-    assert len(asked) == 4
+    assert len(requested) == 4
 
 
 def test_every_call_of_a_burst_above_the_rate_is_refused_as_not_run(entry):
@@ -132,20 +132,20 @@
     # caller that gets "unknown" must not resend a billing call, although it never ran.
     limited = OrganisationPolicy("org", "/org", Rate(0.001, 1.0))
     entry.control.follower.apply_policy(PolicyDelta(1, 2, organisations=(limited,)))
-    ask = entry.control.ask
-    asked = []
+    request = entry.control.request
+    requested = []
 
-    def ask_slowly(question, timeout_s):
+    def request_slowly(question, timeout_s):
         if isinstance(question, QueryCall):
-            asked.append(question)
+            requested.append(question)
             eventlet.sleep(0.05)
-        return ask(question, timeout_s)
+        return request(question, timeout_s)
 
-    entry.control.ask = ask_slowly
+    entry.control.request = request_slowly
     crowd = [eventlet.spawn(entry.call, seq) for seq in range(1, 42)]
     refused = [one.wait().json() for one in crowd]
     refused = [one for one in refused if one.get("error") == "rate_exceeded"]
-    assert len(refused) >= 40 and len(asked) >= 40
+    assert len(refused) >= 40 and len(requested) >= 40
     assert {one["execution"] for one in refused} == {"not_run"}
 
 
--- a/libs/group/tarragonhall_group/_join.py
+++ b/libs/group/tarragonhall_group/_join.py
@@ -125,12 +125,12 @@
         target = address
         self._leader = None
         try:
-            reply = self._context.hub.wait_for(target, JOIN_REQUEST_TIMEOUT_SECONDS).request(
+            reply = self._context.hub.wait_for_link(target, JOIN_REQUEST_TIMEOUT_SECONDS).request(
                 message, JOIN_REQUEST_TIMEOUT_SECONDS
             )
             if not reply.leads and reply.leader is not None and reply.leader != target:
                 target = reply.leader
-                link = self._context.hub.wait_for(target, JOIN_REQUEST_TIMEOUT_SECONDS)
+                link = self._context.hub.wait_for_link(target, JOIN_REQUEST_TIMEOUT_SECONDS)
                 reply = link.request(message, JOIN_REQUEST_TIMEOUT_SECONDS)
         except LinkError as error:
             log.debug("group.join_unheard", address=target, error=str(error))
--- a/libs/group/tests/join_tests.py
+++ b/libs/group/tests/join_tests.py
@@ -25,7 +25,7 @@
     def handle(self, _message_class, _handler) -> None:
         return
 
-    def wait_for(self, address, _timeout_s):
+    def wait_for_link(self, address, _timeout_s):
         if address in self.down:
             raise LinkClosedError("down")
 
--- a/libs/rates/tarragonhall_rates/_rates.py
+++ b/libs/rates/tarragonhall_rates/_rates.py
@@ -231,7 +231,7 @@
     def _link_to(self, entry_id: str):
         for entry in self._view.entries:
             if entry.entry_id == entry_id:
-                return self._context.hub.wait_for(entry.address, PEER_TIMEOUT_S)
+                return self._context.hub.wait_for_link(entry.address, PEER_TIMEOUT_S)
         raise LinkError(f"{entry_id} is not in the view")
 
     def _on_message(self, _link: object, message: TakeTokens | ReturnTokens | HandOver) -> object:
--- a/libs/relay/tarragonhall_relay/_followers.py
+++ b/libs/relay/tarragonhall_relay/_followers.py
@@ -272,7 +272,7 @@
         self._update_scheduled = False
         self._stopped = False
         context.hub.handle(BackendsChanged, self._on_changed)
-        context.hub.on_up(self._on_link_up)
+        context.hub.on_link_open(self._on_link_up)
 
     def start(self) -> None:
         """Start following."""
@@ -308,7 +308,7 @@
         """Request the changes from a member; return whether it replied."""
         version = self._version_by_source.get(address, -1)
         try:
-            link = self._context.hub.wait_for(address, LINK_TIMEOUT_SECONDS)
+            link = self._context.hub.wait_for_link(address, LINK_TIMEOUT_SECONDS)
             reply = link.request(FollowBackends(version), FOLLOW_TIMEOUT_SECONDS)
         except LinkError as error:
             log.debug("backends.unheard", address=address, error=str(error))
--- a/libs/relay/tarragonhall_relay/_role.py
+++ b/libs/relay/tarragonhall_relay/_role.py
@@ -131,7 +131,7 @@
         self._control.follow(
             self._context.entry_record,
             self._follower,
-            takes_relay=True,
+            include_relay=True,
             settled_owners=self.state.rates.settled_owners,
         )
         self._backend_follower.start()
--- a/libs/sidecar/tarragonhall_sidecar/_reconciler.py
+++ b/libs/sidecar/tarragonhall_sidecar/_reconciler.py
@@ -82,7 +82,7 @@
         self._tracker.update_listing(listing, self._context.monotonic())
         queried = self._tracker.programs_to_query(self._context.monotonic())
         if queried:
-            reply = self._control.ask(QueryLiving(queried), QUERY_TIMEOUT_SECONDS)
+            reply = self._control.request(QueryLiving(queried), QUERY_TIMEOUT_SECONDS)
             if isinstance(reply, Living):
                 self._tracker.update_living(queried, reply.program_ids, self._context.monotonic())
         busy = self._execution.active_programs()
--- a/libs/sidecar/tarragonhall_sidecar/_role.py
+++ b/libs/sidecar/tarragonhall_sidecar/_role.py
@@ -98,7 +98,7 @@
     context.hub.handle(AttemptAck, role.on_ack)
     context.hub.handle(ReleaseProgram, role.on_release)
     context.hub.handle(EngineOrder, role.on_order)
-    context.hub.on_down(role.on_link_down)
+    context.hub.on_link_closed(role.on_link_down)
     for sidecar in sidecar_by_server.values():
         sidecar.start()
     return role
--- a/libs/sidecar/tests/conftest.py
+++ b/libs/sidecar/tests/conftest.py
@@ -56,7 +56,7 @@
     def propose(self, body, timeout_s, request_id=None):
         self.proposed.append(body)
 
-    def ask(self, query, timeout_s):
+    def request(self, query, timeout_s):
         return Living([name for name in query.program_ids if name in self.living])
 
     def follow(self, node, follower, load):
@@ -100,7 +100,7 @@
             "s1", self.server.address, self.kind, [target], self.slots, "ignored", 500
         )
         self.role = start_sidecars([settings], self.context, self.control)
-        self.link = self.entry.hub.wait_for(self.context.link_address, 2)
+        self.link = self.entry.hub.wait_for_link(self.context.link_address, 2)
 
     def stop_sidecar(self) -> None:
         """Stop the sidecar without a drain or a leave notice."""
--- a/libs/sidecar/tests/failures_tests.py
+++ b/libs/sidecar/tests/failures_tests.py
@@ -211,10 +211,10 @@
     body = "agenda [tokens=60]"
     attempt = engine_harness.send("p1", body)
     eventually(lambda: engine_harness.text_of(attempt))
-    engine_harness.entry.hub.forget(engine_harness.context.link_address)
+    engine_harness.entry.hub.disconnect(engine_harness.context.link_address)
     engine_harness.received_by_attempt.clear()
     eventlet.sleep(0.05)
-    link = engine_harness.entry.hub.wait_for(engine_harness.context.link_address, 2)
+    link = engine_harness.entry.hub.wait_for_link(engine_harness.context.link_address, 2)
     link.request(Attach(attempt), 2)
     expected = " ".join(answer_to(body, 100))
     assert engine_harness.end_of(attempt).answer.text == expected
--- a/libs/store/tests/role_tests.py
+++ b/libs/store/tests/role_tests.py
@@ -124,6 +124,6 @@
     waiting = Deployment(tmp_path)
     waiting.start_store("s1", first_start=False)
     context = waiting.context_by_name["s1"]
-    link = waiting.control.member.context.hub.wait_for(context.link_address, 2.0)
+    link = waiting.control.member.context.hub.wait_for_link(context.link_address, 2.0)
     assert link.request(Propose("r-1", EndTurn("a", "org", "p", 0, 1)), 1.0) == NotLeader()
     waiting.stop()
--- a/libs/wire/tarragonhall_wire/__init__.py
+++ b/libs/wire/tarragonhall_wire/__init__.py
@@ -9,10 +9,10 @@
 from tarragonhall_wire._hub import Hub, split_address
 from tarragonhall_wire._leader_client import LeaderClient, UnavailableError
 from tarragonhall_wire._link import Link
-from tarragonhall_wire._logs import set_up_logs
+from tarragonhall_wire._logs import configure_logging
 from tarragonhall_wire._metrics import Metrics, make_metrics
 from tarragonhall_wire._timeline import HybridClock, Timeline
-from tarragonhall_wire._traffic import Traffic, report_regularly, report_traffic
+from tarragonhall_wire._traffic import Traffic, report_traffic, report_traffic_loop
 
 __all__ = [
     "ControlClient",
@@ -31,11 +31,11 @@
     "Timeline",
     "Traffic",
     "UnavailableError",
+    "configure_logging",
     "make_context",
     "make_metrics",
-    "report_regularly",
     "report_traffic",
-    "set_up_logs",
+    "report_traffic_loop",
     "split_address",
     "sse_event",
 ]
--- a/libs/wire/tarragonhall_wire/_control_client.py
+++ b/libs/wire/tarragonhall_wire/_control_client.py
@@ -65,16 +65,16 @@
         """Commit a command and return its result; see `LeaderClient.propose`."""
         return self._leader.propose(body, timeout_s, request_id)
 
-    def ask(self, message: object, timeout_s: float) -> object:
+    def request(self, message: object, timeout_s: float) -> object:
         """Send a request to the leader with retries; raise `UnavailableError` on timeout."""
-        return self._leader.ask(message, timeout_s)
+        return self._leader.request(message, timeout_s)
 
     def follow(
         self,
         node: Callable[[], EntryRecord | ServerRecord | StoreRecord],
         follower: FollowerApi,
         load: Callable[[], NodeLoad] = NodeLoad,
-        takes_relay: bool = False,
+        include_relay: bool = False,
         settled_owners: Callable[[], int] = int,
     ) -> None:
         """Keep a follower fresh and `node` announced, from a green thread, until it leaves.
@@ -82,7 +82,7 @@
         `settled_owners` returns the value of the heartbeat's field of that name.
         """
         self.followers.append(follower)
-        eventlet.spawn_n(self._follow_loop, node, follower, load, takes_relay, settled_owners)
+        eventlet.spawn_n(self._follow_loop, node, follower, load, include_relay, settled_owners)
 
     def leave(self, node: EntryRecord | ServerRecord | StoreRecord, timeout_s: float) -> None:
         """Leave the view; if this fails, the missing heartbeats have the same effect later.
@@ -92,7 +92,7 @@
         """
         self._left_node_ids.add(_node_id(node))
         try:
-            self.ask(Leaving(node), timeout_s)
+            self.request(Leaving(node), timeout_s)
         except UnavailableError as error:
             log.warning("control.leave_failed", error=str(error))
 
@@ -101,11 +101,11 @@
         node: Callable,
         follower: FollowerApi,
         load: Callable,
-        takes_relay: bool,
+        include_relay: bool,
         settled_owners: Callable[[], int],
     ) -> None:
         while _node_id(node()) not in self._left_node_ids:
-            relay_version = follower.relay_version if takes_relay else None
+            relay_version = follower.relay_version if include_relay else None
             heartbeat = Heartbeat(
                 node(),
                 follower.settings_revision,
--- a/libs/wire/tarragonhall_wire/_http.py
+++ b/libs/wire/tarragonhall_wire/_http.py
@@ -36,14 +36,14 @@
 
 @dataclass(slots=True)
 class HttpRequest:
-    """One request; `parts` holds the parameters that the route matched in the path."""
+    """One request; `path_params` holds the parameters that the route matched in the path."""
 
     method: str
     path: str
     query: str
     headers: dict[str, str]
     body: bytes
-    parts: dict[str, str] = field(default_factory=dict)
+    path_params: dict[str, str] = field(default_factory=dict)
 
     def bearer(self) -> str | None:
         """Return the bearer credential, or None."""
@@ -169,7 +169,7 @@
             if method != request.method:
                 allowed.append(method)
                 continue
-            request.parts = match.groupdict()
+            request.path_params = match.groupdict()
             return handler(request)
         if allowed:
             error = {"error": "method_not_allowed", "message": f"allowed: {', '.join(allowed)}"}
--- a/libs/wire/tarragonhall_wire/_hub.py
+++ b/libs/wire/tarragonhall_wire/_hub.py
@@ -35,7 +35,7 @@
     """The links of one process.
 
     Handlers are registered by message class. `link_to` returns the link to an address and redials
-    it from then on until `forget`. If the peer has already dialled, its link is used: two links
+    it from then on until `disconnect`. If the peer has already dialled, its link is used: two links
     between two processes would double the heartbeats, and a restarted process is reachable as soon
     as it has dialled instead of after the delay before the next dial.
     """
@@ -46,9 +46,9 @@
         "_dial_targets",
         "_dialled_by_address",
         "_handler_by_class",
+        "_link_closed_callbacks",
+        "_link_open_callbacks",
         "_listener",
-        "_on_down",
-        "_on_up",
         "_rng",
         "_secret",
         "_stopped",
@@ -75,8 +75,8 @@
         self._secret = secret
         self._rng = rng
         self._handler_by_class: dict[type, Callable[[Link, object], object]] = {}
-        self._on_down: list[Callable[[Link], None]] = []
-        self._on_up: list[Callable[[Link], None]] = []
+        self._link_closed_callbacks: list[Callable[[Link], None]] = []
+        self._link_open_callbacks: list[Callable[[Link], None]] = []
         self._dialled_by_address: dict[str, Link] = {}
         self._dial_targets: set[str] = set()
         self._listener = None
@@ -94,13 +94,13 @@
             raise ValueError(f"{message_class.__name__} already has a handler")
         self._handler_by_class[message_class] = handler
 
-    def on_up(self, callback: Callable[[Link], None]) -> None:
+    def on_link_open(self, callback: Callable[[Link], None]) -> None:
         """Call `callback` with each link that opens, before its first message."""
-        self._on_up.append(callback)
+        self._link_open_callbacks.append(callback)
 
-    def on_down(self, callback: Callable[[Link], None]) -> None:
+    def on_link_closed(self, callback: Callable[[Link], None]) -> None:
         """Call `callback` with each link that closes."""
-        self._on_down.append(callback)
+        self._link_closed_callbacks.append(callback)
 
     def listen(self, address: str) -> None:
         """Accept links on `host:port`."""
@@ -134,7 +134,7 @@
                 return link
         return None
 
-    def wait_for(self, address: str, timeout_s: float) -> Link:
+    def wait_for_link(self, address: str, timeout_s: float) -> Link:
         """Return the link to an address, waiting for it to open."""
         with eventlet.Timeout(timeout_s, False):
             while True:
@@ -144,7 +144,7 @@
                     eventlet.sleep(0.01)
         raise LinkClosedError(f"no link to {address} within {timeout_s} s")
 
-    def forget(self, address: str) -> None:
+    def disconnect(self, address: str) -> None:
         """Close the link to an address and stop dialling it."""
         self._dial_targets.discard(address)
         link = self._dialled_by_address.pop(address, None)
@@ -206,12 +206,12 @@
 
     def _run_link(self, link: Link) -> None:
         log.info("link.up", peer=link.peer.instance)
-        for callback in self._on_up:
+        for callback in self._link_open_callbacks:
             callback(link)
         link.run()
         if not self._stopped:
             log.info("link.down", peer=link.peer.instance)
-        for callback in self._on_down:
+        for callback in self._link_closed_callbacks:
             callback(link)
 
     def _dial_loop(self, address: str) -> None:
--- a/libs/wire/tarragonhall_wire/_leader_client.py
+++ b/libs/wire/tarragonhall_wire/_leader_client.py
@@ -72,17 +72,17 @@
         effect once.
         """
         request_id = request_id or new_id("req", self._context.rng)
-        reply = self.ask(Propose(request_id, body), timeout_s)
+        reply = self.request(Propose(request_id, body), timeout_s)
         if not isinstance(reply, Proposed):
             raise UnavailableError(f"unexpected reply {type(reply).__name__}")
         return reply.result
 
-    def ask(self, message: object, timeout_s: float) -> object:
+    def request(self, message: object, timeout_s: float) -> object:
         """Send a request to the leader with retries; raise `UnavailableError` on timeout."""
         return self.request_timed(message, timeout_s).reply
 
     def request_timed(self, message: object, timeout_s: float) -> TimedReply:
-        """Like `ask`; also return when the request that was answered was sent."""
+        """Like `request`; also return when the request that was answered was sent."""
         deadline = self._context.monotonic() + timeout_s
         attempt_timeout_s = FIRST_ATTEMPT_SECONDS
         while True:
--- a/libs/wire/tarragonhall_wire/_logs.py
+++ b/libs/wire/tarragonhall_wire/_logs.py
@@ -23,7 +23,9 @@
 SECRET_FIELDS = frozenset({"key", "api_key", "secret", "token", "key_hash", "authorization"})
 
 
-def set_up_logs(instance: str, level: str = "info", stream: TextIO | None = None) -> LineWriter:
+def configure_logging(
+    instance: str, level: str = "info", stream: TextIO | None = None
+) -> LineWriter:
     """Configure structlog once for the process; lines go to `stream` or standard error.
 
     Return the writer, which must be flushed before the process ends.
--- a/libs/wire/tarragonhall_wire/_traffic.py
+++ b/libs/wire/tarragonhall_wire/_traffic.py
@@ -81,7 +81,7 @@
         log.info("process.traffic", incarnation=incarnation, totals=totals)
 
 
-def report_regularly(traffic: Traffic, incarnation: str) -> None:
+def report_traffic_loop(traffic: Traffic, incarnation: str) -> None:
     """Log the totals every `REPORT_SECONDS` for ever; call in a green thread."""
     while True:
         eventlet.sleep(REPORT_SECONDS)
--- a/libs/wire/tests/http_tests.py
+++ b/libs/wire/tests/http_tests.py
@@ -21,7 +21,9 @@
 @pytest.fixture
 def server():
     http_server = HttpServer("127.0.0.1:0", on_error)
-    http_server.route("GET", "/items/{name}", lambda request: HttpResponse(200, request.parts))
+    http_server.route(
+        "GET", "/items/{name}", lambda request: HttpResponse(200, request.path_params)
+    )
     http_server.route("POST", "/echo", lambda request: HttpResponse(200, request.json()))
     http_server.route("GET", "/slow", slow)
     http_server.start()
--- a/libs/wire/tests/links_tests.py
+++ b/libs/wire/tests/links_tests.py
@@ -45,7 +45,7 @@
         return Living(query.program_ids)
 
     two.hub.handle(QueryLiving, slow_first)
-    link = one.hub.wait_for(two.link_address, 2)
+    link = one.hub.wait_for_link(two.link_address, 2)
     requests = [eventlet.spawn(link.request, QueryLiving([f"prog-{n}"]), 2) for n in range(5)]
     assert [request.wait().program_ids for request in requests] == [[f"prog-{n}"] for n in range(5)]
 
@@ -55,7 +55,7 @@
     received = []
     two.hub.handle(Chunk, lambda _link, chunk: received.append(chunk.index))
     two.hub.handle(QueryLiving, echo)
-    link = one.hub.wait_for(two.link_address, 2)
+    link = one.hub.wait_for_link(two.link_address, 2)
     for index in range(200):
         link.send(Chunk("prog-1/1/1", index, "x"))
     link.request(QueryLiving([]), 2)
@@ -69,13 +69,13 @@
     one, two = start("one"), start("two")
     two.hub.handle(QueryLiving, echo)
     relay = Relay(two.link_address)
-    link = one.hub.wait_for(relay.address, 2)
+    link = one.hub.wait_for_link(relay.address, 2)
     relay.silence()
     started_at = time.monotonic()
     with pytest.raises(LinkClosedError):
         link.request(QueryLiving(["prog-1"]), 10)
     assert time.monotonic() - started_at < RECEIVE_TIMEOUT_SECONDS + 2
-    again = one.hub.wait_for(relay.address, 3)
+    again = one.hub.wait_for_link(relay.address, 3)
     assert again.request(QueryLiving(["prog-1"]), 2) == Living(["prog-1"])
     relay.stop()
 
@@ -85,9 +85,9 @@
     # over a connection on which its results are lost.
     one, two = start("one"), start("two")
     down = []
-    two.hub.on_down(lambda link: down.append(link.peer.instance))
+    two.hub.on_link_closed(lambda link: down.append(link.peer.instance))
     relay = Relay(two.link_address)
-    one.hub.wait_for(relay.address, 2)
+    one.hub.wait_for_link(relay.address, 2)
     relay.silence(forth=False, back=True)
     with eventlet.Timeout(RECEIVE_TIMEOUT_SECONDS * 2 + 2):
         while not down:
@@ -105,7 +105,7 @@
         eventlet.sleep(30)
 
     two.hub.handle(QueryLiving, never)
-    link = one.hub.wait_for(two.link_address, 2)
+    link = one.hub.wait_for_link(two.link_address, 2)
     request = eventlet.spawn(link.request, QueryLiving([]), 20)
     eventlet.sleep(0.05)
     two.hub.stop()
@@ -122,7 +122,7 @@
         raise ValueError("broken")
 
     two.hub.handle(QueryLiving, fail)
-    link = one.hub.wait_for(two.link_address, 2)
+    link = one.hub.wait_for_link(two.link_address, 2)
     with pytest.raises(LinkClosedError, match="broken"):
         link.request(QueryLiving([]), 5)
     assert not link.closed
@@ -131,7 +131,7 @@
 def test_a_request_without_a_reply_times_out(start):
     one, two = start("one"), start("two")
     two.hub.handle(QueryLiving, lambda _link, _query: eventlet.sleep(5))
-    link = one.hub.wait_for(two.link_address, 2)
+    link = one.hub.wait_for_link(two.link_address, 2)
     with pytest.raises(RequestTimeoutError):
         link.request(QueryLiving([]), 0.1)
 
@@ -141,7 +141,7 @@
     # would grow until it runs out of memory.
     one, two = start("one"), start("two")
     relay = Relay(two.link_address)
-    link = one.hub.wait_for(relay.address, 2)
+    link = one.hub.wait_for_link(relay.address, 2)
     with pytest.raises(LinkOverloadedError):
         for index in range(SEND_QUEUE_MESSAGES * 2):
             link.send(Chunk("prog-1/1/1", index, "x"))
@@ -171,7 +171,7 @@
 
     for process in (one, two):
         process.hub.handle(Chunk, counter(process.instance))
-    link = one.hub.wait_for(two.link_address, 2)
+    link = one.hub.wait_for_link(two.link_address, 2)
     back = two.hub.accepted[0]
     text = "x" * 200_000
     with eventlet.Timeout(RECEIVE_TIMEOUT_SECONDS * 2):
@@ -186,8 +186,8 @@
     # Each entry sends updates to all others. With a link in each direction, a deployment of 25
     # entries held 600 links, each of which costs heartbeats at both ends.
     one, two = start("one"), start("two")
-    one.hub.wait_for(two.link_address, 2)
-    two.hub.wait_for(one.link_address, 2)
+    one.hub.wait_for_link(two.link_address, 2)
+    two.hub.wait_for_link(one.link_address, 2)
     assert len(one.hub.links()) == len(two.hub.links()) == 1
 
 
@@ -198,7 +198,7 @@
     address = two.link_address
     two.hub.handle(QueryLiving, echo)
     one.hub._dial_targets.add(address)
-    two.hub.wait_for(one.link_address, 2)
+    two.hub.wait_for_link(one.link_address, 2)
     assert one.hub.link_to(address).request(QueryLiving(["prog-1"]), 2).program_ids == ["prog-1"]
 
 
@@ -206,11 +206,11 @@
     # The peer closes the link that it had dialled. The next message must open another link.
     one, two = start("one"), start("two")
     two.hub.handle(QueryLiving, echo)
-    link = two.hub.wait_for(one.link_address, 2)
+    link = two.hub.wait_for_link(one.link_address, 2)
     eventlet.sleep(0.05)
     assert one.hub.link_to(two.link_address).peer.address == two.link_address
-    two.hub.forget(one.link_address)
+    two.hub.disconnect(one.link_address)
     assert link.closed
     eventlet.sleep(0.05)
-    again = one.hub.wait_for(two.link_address, 2)
+    again = one.hub.wait_for_link(two.link_address, 2)
     assert again.request(QueryLiving(["prog-1"]), 2).program_ids == ["prog-1"]
