--- a/libs/cli/tarragonhall_cli/_profiles.py
+++ b/libs/cli/tarragonhall_cli/_profiles.py
@@ -21,7 +21,7 @@
     token: str
 
 
-OPTIONS = MapOf(Group(Profile, {"admin": ListOf(Address(), at_least=1), "token": Text()}))
+OPTIONS = MapOf(Group(Profile, {"admin": ListOf(Address(), min_items=1), "token": Text()}))
 
 
 def choose_profile(file: Path, name: str, admin: list[str], token: str | None) -> Profile:
--- a/libs/control/tarragonhall_control/_bodies.py
+++ b/libs/control/tarragonhall_control/_bodies.py
@@ -14,10 +14,10 @@
     Flag,
     Group,
     InputError,
+    Integer,
     ListOf,
     MapOf,
     Text,
-    Whole,
     unknown_name,
 )
 from tarragonhall_state import OperatorRole
@@ -39,7 +39,7 @@
 
 
 REQUEST_ID = {"request_id": Text(None)}
-EXPECTED_REVISION = {"expected_revision": Whole()}
+EXPECTED_REVISION = {"expected_revision": Integer()}
 
 ORGANISATION = Group(
     dict,
@@ -48,7 +48,7 @@
         "org_id": Text(),
         "path": Text(),
         "settings": MapOf(AnyJson(), default={}),
-        "expected_revision": Whole(None),
+        "expected_revision": Integer(None),
     },
 )
 KEY = Group(
@@ -57,9 +57,9 @@
     | {
         "org_id": Text(),
         "key_hash": Text(None),
-        "expires_at_ms": Whole(None),
+        "expires_at_ms": Integer(None),
         "replaces": Text(None),
-        "overlap_seconds": Whole(0, maximum=30 * 24 * 3_600),
+        "overlap_seconds": Integer(0, maximum=30 * 24 * 3_600),
     },
 )
 SETTINGS = Group(
@@ -77,7 +77,7 @@
     dict,
     REQUEST_ID
     | EXPECTED_REVISION
-    | {"path": Text("/"), "to_revision": Whole(), "dry_run": Flag(False)},
+    | {"path": Text("/"), "to_revision": Integer(), "dry_run": Flag(False)},
 )
 IMPORT = Group(
     dict,
@@ -101,9 +101,9 @@
     | {
         "name": Text(),
         "version": Text(),
-        "min_replicas": Whole(None),
-        "max_tokens": Whole(None),
-        "expected_revision": Whole(None),
+        "min_replicas": Integer(None),
+        "max_tokens": Integer(None),
+        "expected_revision": Integer(None),
     },
 )
 DRAIN = Group(dict, REQUEST_ID | {"draining": Flag(True)})
--- a/libs/control/tarragonhall_control/_settings.py
+++ b/libs/control/tarragonhall_control/_settings.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from tarragonhall_decisions import OWNERSHIP_S
-from tarragonhall_model import Address, Flag, Group, MapOf, Text, Whole
+from tarragonhall_model import Address, Flag, Group, Integer, MapOf, Text
 
 OWNERSHIP_MS = int(OWNERSHIP_S * 1000)
 
@@ -45,15 +45,15 @@
         # A backend server that crashes must get no new work after a few seconds. Heartbeats are up
         # to a second apart: below the minimum, healthy nodes would leave and rejoin the view
         # between heartbeats, and running work would be treated as lost.
-        "server_timeout_ms": Whole(3_000, minimum=1_500),
-        "entry_timeout_ms": Whole(4_000, minimum=1_500),
+        "server_timeout_ms": Integer(3_000, minimum=1_500),
+        "entry_timeout_ms": Integer(4_000, minimum=1_500),
         "member_id": Text(default=""),
         "heal": Flag(default=False),
-        "losses_borne": Whole(1, minimum=0),
-        "zone_losses_borne": Whole(0, minimum=0),
+        "losses_borne": Integer(1, minimum=0),
+        "zone_losses_borne": Integer(0, minimum=0),
         # After this long without a confirmed heartbeat an entry owns no rates, and the tokens it
         # granted have expired. Must not be below the entries' own value.
-        "ownership_ms": Whole(OWNERSHIP_MS, minimum=OWNERSHIP_MS),
+        "ownership_ms": Integer(OWNERSHIP_MS, minimum=OWNERSHIP_MS),
         "region_by_zone": MapOf(Text(), default={}),
     },
 )
--- a/libs/daemon/tarragonhall_daemon/_settings.py
+++ b/libs/daemon/tarragonhall_daemon/_settings.py
@@ -17,9 +17,9 @@
     Finding,
     Group,
     InputError,
+    Integer,
     ListOf,
     Text,
-    Whole,
     parse_json,
 )
 from tarragonhall_sidecar import SidecarSettings
@@ -105,7 +105,7 @@
             {
                 "listen": Address(),
                 "secret_file": Text(),
-                "controls": ListOf(Address(), at_least=1),
+                "controls": ListOf(Address(), min_items=1),
             },
         ),
         "control": replace(tarragonhall_control.OPTIONS, default=None),
@@ -113,12 +113,12 @@
         "sidecars": ListOf(tarragonhall_sidecar.OPTIONS, default=[]),
         "statsd": Group(
             StatsdSettings,
-            {"host": Text(), "port": Whole(8125, minimum=1, maximum=65_535)},
+            {"host": Text(), "port": Integer(8125, minimum=1, maximum=65_535)},
             default=None,
         ),
         "log_level": Choice(("debug", "info", "warning", "error"), default="info"),
         # Long enough for the longest stream of a caller, but below the platform's own limit.
-        "stop_timeout_ms": Whole(120_000, minimum=1_000),
+        "stop_timeout_ms": Integer(120_000, minimum=1_000),
     },
     check=_check_settings,
 )
--- a/libs/daemon/tests/settings_tests.py
+++ b/libs/daemon/tests/settings_tests.py
@@ -63,7 +63,7 @@
     # would be dropped silently.
     file = tmp_path / "settings.json"
     file.write_text('{"instance": "a", "instance": "b"}')
-    with pytest.raises(InputError, match="stands twice"):
+    with pytest.raises(InputError, match="appears twice"):
         load_settings(file)
 
 
--- a/libs/entry/tarragonhall_entry/_requests.py
+++ b/libs/entry/tarragonhall_entry/_requests.py
@@ -14,11 +14,11 @@
     Flag,
     Group,
     InputError,
+    Integer,
     MapOf,
     ModelPolicy,
     Text,
-    Whole,
-    escape,
+    escape_json_pointer,
 )
 
 MAX_TIMEOUT_MS = 3_600_000
@@ -114,7 +114,7 @@
         return [Finding(f"{place}/labels", f"more than {MAX_LABELS} labels")]
     findings = []
     for name in request.labels:
-        findings.extend(_check_text(name, MAX_TEXT, f"{place}/labels/{escape(name)}"))
+        findings.extend(_check_text(name, MAX_TEXT, f"{place}/labels/{escape_json_pointer(name)}"))
     return findings
 
 
@@ -137,13 +137,13 @@
 CALL_OPTIONS = Group(
     CallRequest,
     {
-        "seq": Whole(minimum=1, maximum=MAX_SEQ),
-        "kind": Choice(("model", "service"), made=CallKind),
+        "seq": Integer(minimum=1, maximum=MAX_SEQ),
+        "kind": Choice(("model", "service"), convert=CallKind),
         "target": BoundedText(),
         "body": Payload(),
         "repeatable": Flag(default=None),
-        "max_tokens": Whole(default=None, maximum=MAX_TOKENS),
-        "timeout_ms": Whole(DEFAULT_TIMEOUT_MS, minimum=1, maximum=MAX_TIMEOUT_MS),
+        "max_tokens": Integer(default=None, maximum=MAX_TOKENS),
+        "timeout_ms": Integer(DEFAULT_TIMEOUT_MS, minimum=1, maximum=MAX_TIMEOUT_MS),
         "stream": Flag(default=False),
     },
     check=_check_call,
--- a/libs/entry/tarragonhall_entry/_settings.py
+++ b/libs/entry/tarragonhall_entry/_settings.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from tarragonhall_model import Address, Group, Whole
+from tarragonhall_model import Address, Group, Integer
 
 
 @dataclass(slots=True, frozen=True)
@@ -20,8 +20,8 @@
     EntrySettings,
     {
         "listen": Address(),
-        "queue_per_organisation": Whole(1_000, minimum=1),
+        "queue_per_organisation": Integer(1_000, minimum=1),
         # Time for the load balancer to see that `readyz` fails before the listener closes.
-        "drain_grace_ms": Whole(2_000),
+        "drain_grace_ms": Integer(2_000),
     },
 )
--- a/libs/model/tarragonhall_model/_json.py
+++ b/libs/model/tarragonhall_model/_json.py
@@ -25,6 +25,6 @@
     result: dict[str, Any] = {}
     for name, value in pairs:
         if name in result:
-            raise ValueError(f"the name {name!r} stands twice in one object")
+            raise ValueError(f"the name {name!r} appears twice in one object")
         result[name] = value
     return result
--- a/libs/model/tarragonhall_model/_options.py
+++ b/libs/model/tarragonhall_model/_options.py
@@ -60,7 +60,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Whole:
+class Integer:
     """An integer within bounds."""
 
     default: Any = REQUIRED
@@ -120,11 +120,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Choice:
-    """One of a fixed set of words; `made` converts the word to the value that the code uses."""
+    """One of a fixed set of words; `convert` maps the word to the value that the code uses."""
 
     words: tuple[str, ...]
     default: Any = REQUIRED
-    made: Callable[[str], Any] = str
+    convert: Callable[[str], Any] = str
 
     def load(self, value: object, place: str) -> Loaded:
         """Check one value."""
@@ -132,7 +132,7 @@
             if isinstance(value, str):
                 return None, [unknown_name(place, value, self.words)]
             return _expected(place, f"one of {', '.join(self.words)}", value)
-        return self.made(value), []
+        return self.convert(value), []
 
     def schema(self) -> dict:
         """Return the JSON Schema of this option."""
@@ -141,18 +141,18 @@
 
 @dataclass(slots=True, frozen=True)
 class ListOf:
-    """A list whose items are all loaded by one option, with at least `at_least` of them."""
+    """A list whose items are all loaded by one option, with at least `min_items` of them."""
 
     item: Any
     default: Any = REQUIRED
-    at_least: int = 0
+    min_items: int = 0
 
     def load(self, value: object, place: str) -> Loaded:
         """Check each item."""
         if not isinstance(value, list):
             return _expected(place, "a list", value)
-        if len(value) < self.at_least:
-            return None, [Finding(place, f"expected at least {self.at_least} item(s)")]
+        if len(value) < self.min_items:
+            return None, [Finding(place, f"expected at least {self.min_items} item(s)")]
         loaded, findings = [], []
         for index, part in enumerate(value):
             item, found = self.item.load(part, f"{place}/{index}")
@@ -162,7 +162,7 @@
 
     def schema(self) -> dict:
         """Return the JSON Schema of this option."""
-        return {"type": "array", "items": self.item.schema(), "minItems": self.at_least}
+        return {"type": "array", "items": self.item.schema(), "minItems": self.min_items}
 
 
 @dataclass(slots=True, frozen=True)
@@ -178,7 +178,7 @@
             return _expected(place, "an object", value)
         loaded, findings = {}, []
         for name, part in value.items():
-            loaded[name], found = self.item.load(part, f"{place}/{escape(name)}")
+            loaded[name], found = self.item.load(part, f"{place}/{escape_json_pointer(name)}")
             findings.extend(found)
         return loaded, findings
 
@@ -189,22 +189,22 @@
 
 @dataclass(slots=True, frozen=True)
 class Group:
-    """An object with declared names; `made` builds the typed settings from their values.
+    """An object with declared names; `build` makes the typed settings from their values.
 
     `check` validates the built settings as a whole, for rules that involve several options.
     """
 
-    made: Callable[..., Any]
+    build: Callable[..., Any]
     options: dict[str, Any]
     default: Any = REQUIRED
-    check: Callable[[Any, str], Iterable[Finding]] = field(default=lambda _made, _place: ())
+    check: Callable[[Any, str], Iterable[Finding]] = field(default=lambda _settings, _place: ())
 
     def load(self, value: object, place: str = "") -> Loaded:
         """Check every option, then the group as a whole."""
         if not isinstance(value, dict):
             return _expected(place, "an object", value)
         findings = [
-            unknown_name(f"{place}/{escape(name)}", name, self.options)
+            unknown_name(f"{place}/{escape_json_pointer(name)}", name, self.options)
             for name in value
             if name not in self.options
         ]
@@ -220,7 +220,7 @@
             findings.extend(found)
         if findings:
             return None, findings
-        settings = self.made(**loaded)
+        settings = self.build(**loaded)
         return settings, list(self.check(settings, place))
 
     def schema(self) -> dict:
@@ -233,6 +233,6 @@
         }
 
 
-def escape(name: str) -> str:
+def escape_json_pointer(name: str) -> str:
     """Escape a name for use in a JSON pointer (RFC 6901)."""
     return name.replace("~", "~0").replace("/", "~1")
--- a/libs/model/tests/options_tests.py
+++ b/libs/model/tests/options_tests.py
@@ -4,7 +4,7 @@
 
 import jsonschema
 import pytest
-from tarragonhall_model import Address, Choice, Finding, Group, ListOf, Text, Whole
+from tarragonhall_model import Address, Choice, Finding, Group, Integer, ListOf, Text
 
 
 @dataclass(slots=True, frozen=True)
@@ -21,7 +21,7 @@
     {
         "name": Text(),
         "listen": Address(),
-        "tries": Whole(3, minimum=1, maximum=9),
+        "tries": Integer(3, minimum=1, maximum=9),
         "mode": Choice(("fast", "safe"), default="safe"),
         "zones": ListOf(Text(), default=[]),
     },
--- a/libs/sidecar/tarragonhall_sidecar/_settings.py
+++ b/libs/sidecar/tarragonhall_sidecar/_settings.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from tarragonhall_model import Address, Choice, Group, ListOf, ServerKind, Text, Whole
+from tarragonhall_model import Address, Choice, Group, Integer, ListOf, ServerKind, Text
 
 
 @dataclass(slots=True, frozen=True)
@@ -29,11 +29,11 @@
     {
         "server_id": Text(),
         "server": Address(),
-        "kind": Choice(("model", "service"), made=ServerKind),
-        "serves": ListOf(Text(), at_least=1),
-        "slots": Whole(8, minimum=1, maximum=4_096),
+        "kind": Choice(("model", "service"), convert=ServerKind),
+        "serves": ListOf(Text(), min_items=1),
+        "slots": Integer(8, minimum=1, maximum=4_096),
         "fencing": Choice(("enforced", "ignored"), default="ignored"),
         # An engine pings every second while a request is queued; ten missing pings mean a failure.
-        "progress_ms": Whole(10_000, minimum=100),
+        "progress_ms": Integer(10_000, minimum=100),
     },
 )
--- a/libs/state/tarragonhall_state/_names.py
+++ b/libs/state/tarragonhall_state/_names.py
@@ -9,10 +9,10 @@
     REQUIRED,
     Finding,
     Flag,
+    Integer,
     Number,
     Text,
-    Whole,
-    escape,
+    escape_json_pointer,
     unknown_name,
 )
 
@@ -27,10 +27,10 @@
     # With a burst below 1, no call would ever be admitted.
     "rate.burst": Number(20.0, minimum=1.0, maximum=1e6),
     "weight": Number(1.0, minimum=0.01, maximum=1_000.0),
-    "budget.tokens": Whole(100_000, minimum=1),
-    "budget.calls": Whole(200, minimum=1),
-    "budget.seconds": Whole(3_600, minimum=1, maximum=30 * 24 * 3_600),
-    "idle_seconds": Whole(600, minimum=1, maximum=24 * 3_600),
+    "budget.tokens": Integer(100_000, minimum=1),
+    "budget.calls": Integer(200, minimum=1),
+    "budget.seconds": Integer(3_600, minimum=1, maximum=30 * 24 * 3_600),
+    "idle_seconds": Integer(600, minimum=1, maximum=24 * 3_600),
     "enabled": Flag(True),
 }
 
@@ -38,8 +38,8 @@
 # root.
 OPTION_BY_MODEL_FIELD: dict[str, Any] = {
     "version": Text(),
-    "min_replicas": Whole(1, minimum=0, maximum=100_000),
-    "max_tokens": Whole(4_096, minimum=1, maximum=10_000_000),
+    "min_replicas": Integer(1, minimum=0, maximum=100_000),
+    "max_tokens": Integer(4_096, minimum=1, maximum=10_000_000),
 }
 
 
@@ -96,7 +96,7 @@
         return [Finding(place, f"expected an object, got {values!r}")]
     findings = []
     for name, value in values.items():
-        findings.extend(check_value(path, name, value, f"{place}/{escape(name)}"))
+        findings.extend(check_value(path, name, value, f"{place}/{escape_json_pointer(name)}"))
     return findings
 
 
--- a/libs/state/tarragonhall_state/_tree.py
+++ b/libs/state/tarragonhall_state/_tree.py
@@ -4,7 +4,7 @@
 
 from dataclasses import field
 
-from tarragonhall_model import Finding, escape, mutable_record, record
+from tarragonhall_model import Finding, escape_json_pointer, mutable_record, record
 
 from tarragonhall_state._commands import (
     ChangeRecord,
@@ -179,7 +179,7 @@
             wanted.update({(path, name): None for name in values})
         findings = []
         for path, values in change.nodes.items():
-            place = f"/nodes/{escape(path)}"
+            place = f"/nodes/{escape_json_pointer(path)}"
             wrong = check_path(path, place)
             if not wrong and not is_within(path, change.path):
                 wrong = [Finding(place, f"is not within {change.path}")]
