--- a/libs/consensus/tarragonhall_consensus/__init__.py
+++ b/libs/consensus/tarragonhall_consensus/__init__.py
@@ -12,7 +12,6 @@
     ChangeMember,
     ConfirmRead,
     Event,
-    Machine,
     Output,
     PeerStatus,
     ProposalDone,
@@ -24,11 +23,12 @@
     ReplicaApi,
     RoleChanged,
     SendTo,
+    StateMachine,
     Status,
     TakeSnapshot,
     Tick,
 )
-from tarragonhall_consensus._limits import TICK_SECONDS, Limits, limits_for
+from tarragonhall_consensus._limits import TICK_SECONDS, Limits, limits_for_election_timeout
 from tarragonhall_consensus._messages import Member
 from tarragonhall_consensus._replica import open_replica
 
@@ -40,7 +40,6 @@
     "Event",
     "Files",
     "Limits",
-    "Machine",
     "Member",
     "Output",
     "PeerStatus",
@@ -53,10 +52,11 @@
     "ReplicaApi",
     "RoleChanged",
     "SendTo",
+    "StateMachine",
     "Status",
     "TakeSnapshot",
     "Tick",
     "disk_files",
-    "limits_for",
+    "limits_for_election_timeout",
     "open_replica",
 ]
--- a/libs/consensus/tarragonhall_consensus/_core.py
+++ b/libs/consensus/tarragonhall_consensus/_core.py
@@ -5,7 +5,7 @@
 import random
 from typing import TYPE_CHECKING
 
-from tarragonhall_consensus._interface import Machine, Output, Role, RoleChanged, SendTo
+from tarragonhall_consensus._interface import Output, Role, RoleChanged, SendTo, StateMachine
 from tarragonhall_consensus._limits import Limits
 from tarragonhall_consensus._membership import Membership
 from tarragonhall_consensus._messages import Entry, Envelope, Message, SnapshotMeta
@@ -49,7 +49,7 @@
     def __init__(
         self,
         storage: Storage,
-        machine: Machine,
+        machine: StateMachine,
         rng: random.Random,
         limits: Limits,
         now: float,
--- a/libs/consensus/tarragonhall_consensus/_interface.py
+++ b/libs/consensus/tarragonhall_consensus/_interface.py
@@ -14,7 +14,7 @@
 from tarragonhall_consensus._messages import Member
 
 
-class Machine(Protocol):
+class StateMachine(Protocol):
     """The replicated state machine. `apply` must be deterministic: equal on every member."""
 
     def apply(self, index: int, data: bytes) -> object:
--- a/libs/consensus/tarragonhall_consensus/_leadership.py
+++ b/libs/consensus/tarragonhall_consensus/_leadership.py
@@ -153,7 +153,7 @@
 
     def _needs_voter(self, ready: int) -> bool:
         """Return whether one of `ready` learners should become a voter."""
-        max_voters = self._core.limits.most_voters
+        max_voters = self._core.limits.max_voters
         if max_voters == 0:
             return True
         live = sum(
--- a/libs/consensus/tarragonhall_consensus/_limits.py
+++ b/libs/consensus/tarragonhall_consensus/_limits.py
@@ -36,7 +36,7 @@
     # promoted when a voter is unresponsive. The number is kept odd: four voters that are
     # partitioned into two halves have no majority on either side, and three survive the same single
     # loss.
-    most_voters: int = 0
+    max_voters: int = 0
     # A voter without contact for this long may be compensated for by a learner. Above the time
     # after which an unresponsive link is closed and redialled.
     unresponsive_seconds: float = 2.5
@@ -61,7 +61,7 @@
     segment_bytes: int = 4 * 1024 * 1024
 
 
-def limits_for(election_s: float, base: Limits | None = None) -> Limits:
+def limits_for_election_timeout(election_s: float, base: Limits | None = None) -> Limits:
     """Return limits for another election timeout, with all dependent times in proportion.
 
     A shorter timeout replaces a dead leader sooner, but also one that is only slow: below about
--- a/libs/consensus/tests/membership_tests.py
+++ b/libs/consensus/tests/membership_tests.py
@@ -8,7 +8,7 @@
 from consensus_cluster import SMALL, Cluster, carries_entries
 from tarragonhall_consensus import ChangeMember, Member
 
-ODD = replace(SMALL, most_voters=3, unresponsive_seconds=1.0)
+ODD = replace(SMALL, max_voters=3, unresponsive_seconds=1.0)
 
 
 def test_second_member_lost_right_after_a_repair():
--- a/libs/consensus/tests/single_member_tests.py
+++ b/libs/consensus/tests/single_member_tests.py
@@ -12,7 +12,7 @@
     ReadConfirmed,
     TakeSnapshot,
     Tick,
-    limits_for,
+    limits_for_election_timeout,
     open_replica,
 )
 from tarragonhall_model import StorageError
@@ -126,7 +126,7 @@
 
 def test_limits_for_another_election_time_keep_their_proportions():
     # A lease longer than the time in which voters reject candidates would allow two leaders.
-    limits = limits_for(0.45)
+    limits = limits_for_election_timeout(0.45)
     assert limits.lease_seconds < limits.election_seconds == 0.45
     assert 3 * limits.heartbeat_seconds < limits.election_seconds
     assert limits.snapshot_bytes == Limits().snapshot_bytes
--- a/libs/control/tarragonhall_control/_admin.py
+++ b/libs/control/tarragonhall_control/_admin.py
@@ -8,7 +8,7 @@
 from urllib.parse import parse_qsl
 
 import structlog
-from tarragonhall_group import LeadUnknownError, LoopBusyError
+from tarragonhall_group import LoopBusyError, OutcomeUnknownError
 from tarragonhall_model import (
     Finding,
     InputError,
@@ -101,7 +101,7 @@
         handler, path_params = self._route(call)
         # Reads below must not be older than a change that another leader may have accepted.
         if not self._member.confirm():
-            raise LeadUnknownError("a majority did not confirm this member as leader")
+            raise OutcomeUnknownError("a majority did not confirm this member as leader")
         operators = self._member.state.configuration.operators
         operator = operators.with_token(secret_hash(call.token)) if call.token else None
         if operator is None:
@@ -184,7 +184,7 @@
             return _error(422, "bad_input", "the request is invalid", error.findings)
         case LoopBusyError():
             return _error(429, "busy", str(error), (), {"Retry-After": RETRY_AFTER_SECONDS})
-        case LeadUnknownError():
+        case OutcomeUnknownError():
             message = f"{error}; send the request again with the same request id"
             return _error(503, "unavailable", message, (), {"Retry-After": RETRY_AFTER_SECONDS})
         case TarragonhallError():
--- a/libs/control/tarragonhall_control/_first_operator.py
+++ b/libs/control/tarragonhall_control/_first_operator.py
@@ -8,7 +8,7 @@
 
 import eventlet
 import structlog
-from tarragonhall_group import LeadUnknownError, LoopBusyError
+from tarragonhall_group import LoopBusyError, OutcomeUnknownError
 from tarragonhall_model import (
     TOKEN_PREFIX,
     Finding,
@@ -80,7 +80,7 @@
     if member.is_leader():
         try:
             return member.commit(command, request_id)
-        except (LoopBusyError, LeadUnknownError):
+        except (LoopBusyError, OutcomeUnknownError):
             return None
     address = member.leader_address()
     if address is None:
--- a/libs/control/tarragonhall_control/_link_service.py
+++ b/libs/control/tarragonhall_control/_link_service.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from tarragonhall_group import BUSY_RETRY_MS, LeadUnknownError, LoopBusyError
+from tarragonhall_group import BUSY_RETRY_MS, LoopBusyError, OutcomeUnknownError
 from tarragonhall_model import (
     AbandonCall,
     Busy,
@@ -138,7 +138,7 @@
             return Proposed(self._member.remove(message.node))
         except LoopBusyError:
             return Busy(BUSY_RETRY_MS)
-        except LeadUnknownError:
+        except OutcomeUnknownError:
             return self._not_leader()
 
     def _commit(self, body: object, request_id: str) -> Proposed | NotLeader | Busy:
@@ -147,7 +147,7 @@
         except LoopBusyError:
             self._member.context.metrics.count("control.busy")
             return Busy(BUSY_RETRY_MS)
-        except LeadUnknownError:
+        except OutcomeUnknownError:
             return self._not_leader()
 
     def _not_leader(self) -> NotLeader:
--- a/libs/control/tarragonhall_control/_member.py
+++ b/libs/control/tarragonhall_control/_member.py
@@ -9,12 +9,12 @@
 from tarragonhall_consensus import Limits, RoleChanged
 from tarragonhall_decisions import LossesBorne, StoreFounding
 from tarragonhall_group import (
-    PROPOSE_SECONDS,
+    PROPOSE_TIMEOUT_SECONDS,
     GroupHooks,
     GroupMember,
-    LeadUnknownError,
     LogLoop,
     LoopBusyError,
+    OutcomeUnknownError,
 )
 from tarragonhall_model import (
     AnnounceEntry,
@@ -175,15 +175,15 @@
     def commit(self, body: object, request_id: str | None = None) -> object:
         """Commit a command with the leader's clock and return its result.
 
-        Raises `LoopBusyError` if the command is certainly not in the log, `LeadUnknownError` if its
-        outcome is unknown.
+        Raises `LoopBusyError` if the command is certainly not in the log, `OutcomeUnknownError` if
+        its outcome is unknown.
         """
         if not self.is_leader():
-            raise LeadUnknownError("this member is not the leader")
+            raise OutcomeUnknownError("this member is not the leader")
         request_id = request_id or new_id("req", self.context.rng)
         command = Command(request_id, self.context.wall_ms(), body)
         started = self.context.monotonic()
-        result = self.loop.propose(encode(command), PROPOSE_SECONDS)
+        result = self.loop.propose(encode(command), PROPOSE_TIMEOUT_SECONDS)
         waited_ms = (self.context.monotonic() - started) * 1000
         self.context.metrics.timing("control.commit", waited_ms)
         stop_ended_programs(self.state, self.followers, body, result)
@@ -227,7 +227,7 @@
     def _announce(self, node: Node) -> None:
         try:
             self.commit(_announcement(node))
-        except (LoopBusyError, LeadUnknownError):
+        except (LoopBusyError, OutcomeUnknownError):
             # Retried with the node's next heartbeat, here or at the next leader.
             self.context.metrics.count("control.announce_failed")
         finally:
@@ -237,7 +237,7 @@
         try:
             self.commit(SettleOwners(owners_version))
             log.info("control.owners_settled", version=owners_version)
-        except (LoopBusyError, LeadUnknownError):
+        except (LoopBusyError, OutcomeUnknownError):
             # Retried with the next heartbeat of any entry, here or at the next leader.
             self.context.metrics.count("control.settle_failed")
         finally:
@@ -274,7 +274,7 @@
                 continue
             try:
                 action()
-            except (LoopBusyError, LeadUnknownError) as error:
+            except (LoopBusyError, OutcomeUnknownError) as error:
                 log.debug("control.repeat_failed", error=str(error))
 
     def _on_link_down(self, link: Link) -> None:
--- a/libs/control/tarragonhall_control/_relay_service.py
+++ b/libs/control/tarragonhall_control/_relay_service.py
@@ -4,7 +4,7 @@
 
 import eventlet
 import structlog
-from tarragonhall_group import LeadUnknownError, LoopBusyError
+from tarragonhall_group import LoopBusyError, OutcomeUnknownError
 from tarragonhall_model import (
     EvacuateZone,
     LinkError,
@@ -45,9 +45,9 @@
 
     __slots__ = ("_member", "_min_stores")
 
-    def __init__(self, member: ControlMember, losses_borne: int) -> None:
+    def __init__(self, member: ControlMember, tolerated_losses: int) -> None:
         self._member = member
-        self._min_stores = 2 * losses_borne + 1
+        self._min_stores = 2 * tolerated_losses + 1
 
     def publish(self, document: RelayDocument) -> RelayPublished:
         """Put a document in force unless a newer one is; may raise `NoLeaderError`."""
@@ -121,6 +121,6 @@
                     return self._member.relay_document()
                 case QueryRetired(store_id=store_id):
                     return self._member.retirement(store_id)
-        except (LeadUnknownError, LoopBusyError) as error:
+        except (OutcomeUnknownError, LoopBusyError) as error:
             log.info("relay.commit_unknown", error=str(error))
         return NotLeader()
--- a/libs/control/tarragonhall_control/_role.py
+++ b/libs/control/tarragonhall_control/_role.py
@@ -4,7 +4,7 @@
 
 import eventlet
 from tarragonhall_consensus import Limits
-from tarragonhall_group import Joiner, MemberRepair, limits_for_losses
+from tarragonhall_group import Joiner, MemberRepair, limits_for_tolerated_losses
 from tarragonhall_wire import ProcessContext
 
 from tarragonhall_control._admin import AdminApi
@@ -35,7 +35,7 @@
             self.member.group,
             context,
             lambda: context.control_addresses,
-            repair=MemberRepair(limits_for_losses(settings.losses_borne)),
+            repair=MemberRepair(limits_for_tolerated_losses(settings.losses_borne)),
         )
         LinkService(self.member).register()
         self.member.start()
--- a/libs/group/tarragonhall_group/__init__.py
+++ b/libs/group/tarragonhall_group/__init__.py
@@ -5,18 +5,18 @@
 from tarragonhall_group._join import Joiner, JoinGroup, JoinHeard
 from tarragonhall_group._loop import (
     BUSY_RETRY_MS,
-    LeadUnknownError,
     LogLoop,
     LoopBusyError,
     LoopHooks,
+    OutcomeUnknownError,
 )
-from tarragonhall_group._member import PROPOSE_SECONDS, GroupHooks, GroupMember
+from tarragonhall_group._member import PROPOSE_TIMEOUT_SECONDS, GroupHooks, GroupMember
 from tarragonhall_group._messages import LogMessage
 from tarragonhall_group._repair import (
     MemberRepair,
     RepairLimits,
-    limits_for_losses,
-    smallest_for_losses,
+    limits_for_tolerated_losses,
+    minimal_limits_for_losses,
 )
 
 __all__ = [
@@ -26,14 +26,14 @@
     "JoinGroup",
     "JoinHeard",
     "Joiner",
-    "LeadUnknownError",
     "LogLoop",
     "LogMessage",
     "LoopBusyError",
     "LoopHooks",
     "MemberRepair",
-    "PROPOSE_SECONDS",
+    "OutcomeUnknownError",
+    "PROPOSE_TIMEOUT_SECONDS",
     "RepairLimits",
-    "limits_for_losses",
-    "smallest_for_losses",
+    "limits_for_tolerated_losses",
+    "minimal_limits_for_losses",
 ]
--- a/libs/group/tarragonhall_group/_join.py
+++ b/libs/group/tarragonhall_group/_join.py
@@ -10,7 +10,7 @@
 from tarragonhall_model import LinkError, record
 from tarragonhall_wire import Link, ProcessContext
 
-from tarragonhall_group._loop import LeadUnknownError
+from tarragonhall_group._loop import OutcomeUnknownError
 from tarragonhall_group._member import GroupMember
 from tarragonhall_group._repair import MemberRepair
 
@@ -158,6 +158,6 @@
                 self._member.loop.change_member(
                     change.member, change.remove, change.replace, CHANGE_TIMEOUT_SECONDS
                 )
-            except LeadUnknownError as error:
+            except OutcomeUnknownError as error:
                 # Another change may be in progress; the next round retries with the state by then.
                 log.info("group.member_change_failed", error=str(error))
--- a/libs/group/tarragonhall_group/_loop.py
+++ b/libs/group/tarragonhall_group/_loop.py
@@ -42,7 +42,7 @@
     """Too many proposals are waiting; this one was not logged."""
 
 
-class LeadUnknownError(TarragonhallError):
+class OutcomeUnknownError(TarragonhallError):
     """This member is not the leader, or the outcome of the request is unknown."""
 
 
@@ -120,7 +120,7 @@
                 return result
             case ProposalLost(not_logged=True, reason=reason) if self.is_leader():
                 raise LoopBusyError(reason)
-        raise LeadUnknownError("the proposal may or may not be committed")
+        raise OutcomeUnknownError("the proposal may or may not be committed")
 
     def change_member(self, member: Member, remove: bool, replace: bool, timeout_s: float) -> None:
         """Change one member and wait until the change is complete."""
@@ -130,8 +130,10 @@
             case ProposalDone():
                 return
             case ProposalLost(reason=reason):
-                raise LeadUnknownError(reason or "the change may or may not be committed")
-        raise LeadUnknownError("the change is not complete yet; list the members to see its state")
+                raise OutcomeUnknownError(reason or "the change may or may not be committed")
+        raise OutcomeUnknownError(
+            "the change is not complete yet; list the members to see its state"
+        )
 
     def confirm(self, timeout_s: float) -> bool:
         """Return whether a majority confirmed this leader after the call."""
--- a/libs/group/tarragonhall_group/_member.py
+++ b/libs/group/tarragonhall_group/_member.py
@@ -7,7 +7,7 @@
 
 import eventlet
 import structlog
-from tarragonhall_consensus import Limits, Machine, Member, RoleChanged, open_replica
+from tarragonhall_consensus import Limits, Member, RoleChanged, StateMachine, open_replica
 from tarragonhall_model import LinkError
 from tarragonhall_wire import Link, ProcessContext
 
@@ -17,7 +17,7 @@
 log = structlog.get_logger(__name__)
 
 # Below the timeout of a request, so that the sender is notified and can try another member.
-PROPOSE_SECONDS = 5.0
+PROPOSE_TIMEOUT_SECONDS = 5.0
 CONFIRM_TIMEOUT_SECONDS = 1.0
 
 
@@ -50,7 +50,7 @@
         folder: str,
         member_id: str,
         bootstrap_addresses: dict[str, str],
-        machine: Machine,
+        machine: StateMachine,
         context: ProcessContext,
         hooks: GroupHooks | None = None,
         limits: Limits | None = None,
--- a/libs/group/tarragonhall_group/_repair.py
+++ b/libs/group/tarragonhall_group/_repair.py
@@ -44,20 +44,22 @@
     join_request_valid_s: float = 2.0
 
 
-def limits_for_losses(losses_borne: int) -> RepairLimits:
+def limits_for_tolerated_losses(tolerated_losses: int) -> RepairLimits:
     """Return limits for a group that survives this many simultaneous losses."""
     defaults = RepairLimits()
-    voters = 2 * losses_borne + 1
+    voters = 2 * tolerated_losses + 1
     return replace(defaults, voters=voters, target_members=max(defaults.target_members, voters + 1))
 
 
-def smallest_for_losses(losses_borne: int, zone_losses_borne: int = 0) -> RepairLimits:
+def minimal_limits_for_losses(
+    tolerated_losses: int, tolerated_zone_losses: int = 0
+) -> RepairLimits:
     """Return limits for the smallest group that survives the losses; others are standbys."""
-    voters = 2 * losses_borne + 1
+    voters = 2 * tolerated_losses + 1
     return RepairLimits(
         voters=voters,
         target_members=voters,
-        prefer_leader_zone=not zone_losses_borne,
+        prefer_leader_zone=not tolerated_zone_losses,
         leave_wait_s=3.5,
     )
 
--- a/libs/group/tests/loop_tests.py
+++ b/libs/group/tests/loop_tests.py
@@ -12,7 +12,7 @@
     SendTo,
 )
 from tarragonhall_group import _loop
-from tarragonhall_group._loop import LeadUnknownError, LogLoop, LoopBusyError, LoopHooks
+from tarragonhall_group._loop import LogLoop, LoopBusyError, LoopHooks, OutcomeUnknownError
 
 
 class Replica:
@@ -79,7 +79,7 @@
     with pytest.raises(LoopBusyError):
         loop.propose(b"b", 0.3)
     for thread in waiting:
-        with pytest.raises(LeadUnknownError):
+        with pytest.raises(OutcomeUnknownError):
             thread.wait()
     assert loop.waiting() == 0
     assert loop.replica.batches == [3]
@@ -90,7 +90,7 @@
     with pytest.raises(LoopBusyError, match="uncommitted"):
         loop.propose(b"a", 1.0)
     loop.replica.lost = ProposalLost(0, "two", not_logged=False)
-    with pytest.raises(LeadUnknownError):
+    with pytest.raises(OutcomeUnknownError):
         loop.propose(b"a", 1.0)
 
 
--- a/libs/group/tests/repair_tests.py
+++ b/libs/group/tests/repair_tests.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from tarragonhall_consensus import Member, PeerStatus, Status
-from tarragonhall_group import MemberRepair, RepairLimits, smallest_for_losses
+from tarragonhall_group import MemberRepair, RepairLimits, minimal_limits_for_losses
 
 LIMITS = RepairLimits()
 UNRESPONSIVE = LIMITS.unresponsive_s + 1
@@ -91,13 +91,13 @@
 def test_a_full_group_adds_no_members():
     # Seven stores are standbys of a group of three. Each one added would mean one more copy of
     # every stored turn, and commits would wait for more disks.
-    made = MemberRepair(smallest_for_losses(1))
+    made = MemberRepair(minimal_limits_for_losses(1))
     made.add_request("d", "d:1", now=0.0)
     assert change(made, status({"b": 0.1, "c": 0.1})) is None
 
 
 def test_a_standby_replaces_an_unresponsive_member():
-    made = MemberRepair(smallest_for_losses(1))
+    made = MemberRepair(minimal_limits_for_losses(1))
     made.add_request("d", "d:1", now=0.0)
     assert change(made, status({"b": 0.1, "c": UNRESPONSIVE})).member.member_id == "d"
     made.add_request("e", "e:1", now=0.0)
@@ -108,7 +108,7 @@
 def test_a_standby_is_added_before_a_member_leaves():
     # A member is to be drained and retired. If it were removed before a standby is added, the group
     # of two would stop at the next loss.
-    made = MemberRepair(smallest_for_losses(1))
+    made = MemberRepair(minimal_limits_for_losses(1))
     made.add_request("d", "d:1", now=0.0)
     leaving = frozenset({"c"})
     seen = status({"b": 0.1, "c": 0.1})
@@ -120,7 +120,7 @@
 
 def test_repeated_partitions_do_not_grow_a_group_without_limit():
     # A partition makes two members unreachable; standbys are added, and so on at each partition.
-    made = MemberRepair(smallest_for_losses(1))
+    made = MemberRepair(minimal_limits_for_losses(1))
     made.add_request("e", "e:1", now=0.0)
     assert change(made, status({"b": UNRESPONSIVE, "c": UNRESPONSIVE, "d": 0.1})) is None
 
@@ -128,7 +128,7 @@
 def test_a_leaving_member_waits_for_a_standby_to_send_a_request():
     # A store was just started and another one is to be retired. If the old one were removed before
     # the new one sends a request, the group of two would stop at the next loss.
-    made = MemberRepair(smallest_for_losses(1))
+    made = MemberRepair(minimal_limits_for_losses(1))
     seen = status({"b": 0.1, "c": 0.1})
     leaving = frozenset({"c"})
     assert change(made, seen, leaving, now=0.0) is None
@@ -139,7 +139,7 @@
 
 def test_a_process_in_the_leaders_zone_is_added_first():
     # Otherwise a group would spread over all zones, one lost member after another.
-    made = MemberRepair(smallest_for_losses(1))
+    made = MemberRepair(minimal_limits_for_losses(1))
     made.add_request("d", "d:1", now=0.0, same_zone=False)
     made.add_request("e", "e:1", now=0.0, same_zone=True)
     assert change(made, status({"b": 0.1, "c": UNRESPONSIVE})).member.member_id == "e"
@@ -147,7 +147,7 @@
 
 def test_the_first_request_wins_where_a_zone_loss_must_be_survived():
     # Otherwise a group could be in a single zone and be lost with it.
-    made = MemberRepair(smallest_for_losses(1, zone_losses_borne=1))
+    made = MemberRepair(minimal_limits_for_losses(1, tolerated_zone_losses=1))
     made.add_request("d", "d:1", now=0.0, same_zone=False)
     made.add_request("e", "e:1", now=0.0, same_zone=True)
     assert change(made, status({"b": 0.1, "c": UNRESPONSIVE})).member.member_id == "d"
--- a/libs/state/tarragonhall_state/__init__.py
+++ b/libs/state/tarragonhall_state/__init__.py
@@ -1,7 +1,7 @@
 """State machines over the log: settings tree, keys, operators, views and the program journal.
 
-`ControlState` is the `Machine` that the consensus library drives: `apply(index, data)` decodes a
-`model.Command`, dispatches it to the component that owns it, and returns the result record. Its
+`ControlState` is the `StateMachine` that the consensus library drives: `apply(index, data)` decodes
+a `model.Command`, dispatches it to the component that owns it, and returns the result record. Its
 other methods are queries without side effects, which the control role runs on its local replica.
 """
 
--- a/libs/store/tarragonhall_store/_role.py
+++ b/libs/store/tarragonhall_store/_role.py
@@ -7,7 +7,13 @@
 import eventlet
 import structlog
 from tarragonhall_consensus import Limits
-from tarragonhall_group import GroupHooks, GroupMember, Joiner, MemberRepair, smallest_for_losses
+from tarragonhall_group import (
+    GroupHooks,
+    GroupMember,
+    Joiner,
+    MemberRepair,
+    minimal_limits_for_losses,
+)
 from tarragonhall_model import ConfirmRetired, StoreRecord, View
 from tarragonhall_state import Follower, TurnState
 from tarragonhall_wire import ControlClient, ProcessContext, UnavailableError
@@ -112,7 +118,9 @@
         )
         self._service.attach(self.member)
         settings = self._settings
-        limits = smallest_for_losses(settings.losses_borne, settings.zone_losses_borne)
+        limits = minimal_limits_for_losses(
+            settings.tolerated_losses, settings.tolerated_zone_losses
+        )
         self._joiner = Joiner(
             self.member,
             self._context,
--- a/libs/store/tarragonhall_store/_service.py
+++ b/libs/store/tarragonhall_store/_service.py
@@ -6,10 +6,10 @@
 from tarragonhall_consensus import RoleChanged
 from tarragonhall_group import (
     BUSY_RETRY_MS,
-    PROPOSE_SECONDS,
+    PROPOSE_TIMEOUT_SECONDS,
     GroupMember,
-    LeadUnknownError,
     LoopBusyError,
+    OutcomeUnknownError,
 )
 from tarragonhall_model import (
     Busy,
@@ -78,11 +78,11 @@
             return NotLeader(self._member.leader_address())
         data = encode(TurnCommand(self._now_ms(), message.body))
         try:
-            return Proposed(self._member.loop.propose(data, PROPOSE_SECONDS))
+            return Proposed(self._member.loop.propose(data, PROPOSE_TIMEOUT_SECONDS))
         except LoopBusyError as error:
             log.warning("store.busy", error=str(error))
             return Busy(BUSY_RETRY_MS)
-        except LeadUnknownError:
+        except OutcomeUnknownError:
             return NotLeader(self._member.leader_address())
 
     def _on_read(self, _link: Link, message: ReadTurns) -> TurnsRead:
--- a/libs/store/tarragonhall_store/_settings.py
+++ b/libs/store/tarragonhall_store/_settings.py
@@ -7,11 +7,12 @@
 
 @dataclass(slots=True, frozen=True)
 class StoreSettings:
-    """`may_bootstrap` means that the whole deployment starts for the first time; `losses_borne` is
-    how many members may be lost at once, and `zone_losses_borne` how many availability zones.
+    """`may_bootstrap` means that the whole deployment starts for the first time; `tolerated_losses`
+    is how many members may be lost at once, and `tolerated_zone_losses` how many availability
+    zones.
     """
 
     data_folder: str
     may_bootstrap: bool = False
-    losses_borne: int = 1
-    zone_losses_borne: int = 0
+    tolerated_losses: int = 1
+    tolerated_zone_losses: int = 0
