--- a/libs/control/tarragonhall_control/_admin_keys.py
+++ b/libs/control/tarragonhall_control/_admin_keys.py
@@ -150,14 +150,14 @@
         The secret is not stored, so it cannot be returned again. Generating a second one would
         leave the first key in force without anyone knowing of it.
         """
-        remembered = self._member.state.remembered(request.request_id)
-        if remembered is None:
+        earlier = self._member.state.find_request(request.request_id)
+        if earlier is None:
             return None
-        match remembered.result:
+        match earlier.result:
             case KeyGranted() | ChangeAccepted():
                 notice = {"request_id": request.request_id, "message": SECRET_NOT_REPEATED}
-                return AdminReply(as_json(remembered.result) | notice)
-        unwrap_result(remembered.result)
+                return AdminReply(as_json(earlier.result) | notice)
+        unwrap_result(earlier.result)
         message = "this request id was already used for another request"
         raise AdminError(409, RefusalCode.CONFLICT.value, message)
 
--- a/libs/control/tarragonhall_control/_admin_settings.py
+++ b/libs/control/tarragonhall_control/_admin_settings.py
@@ -103,7 +103,7 @@
         path = self._path(request)
         until = bodies.whole_number(values, "to", self._configuration.revision)
         after = bodies.whole_number(values, "from", max(0, until - 1))
-        oldest = self._configuration.tree.oldest_reachable(until)
+        oldest = self._configuration.tree.oldest_revision(until)
         if after < oldest:
             text = f"the history reaches back to revision {oldest}"
             raise InputError([Finding("?from", text)])
--- a/libs/control/tarragonhall_control/_link_service.py
+++ b/libs/control/tarragonhall_control/_link_service.py
@@ -173,7 +173,7 @@
         return self._member.state.program(query.program_id, query.org_id)
 
     def _living(self, query: QueryLiving) -> object:
-        return self._member.state.living(query.program_ids)
+        return self._member.state.open_programs(query.program_ids)
 
     def _quarantine(self, query: QueryQuarantine) -> object:
         now_ms = self._member.context.wall_ms()
--- a/libs/control/tarragonhall_control/_member.py
+++ b/libs/control/tarragonhall_control/_member.py
@@ -199,7 +199,7 @@
         key = node_key(node)
         if key in self._announcing:
             return
-        if not self.nodes.needs_announcement(node, self.state.announced(node)):
+        if not self.nodes.needs_announcement(node, self.state.announced_record(node)):
             return
         self._announcing.add(key)
         eventlet.spawn_n(self._announce, node)
@@ -209,7 +209,11 @@
 
         A new incarnation of an entry can then own at once what the previous one owned.
         """
-        if self._settling or owners_version == 0 or owners_version != self.state.unsettled_owners:
+        if (
+            self._settling
+            or owners_version == 0
+            or owners_version != self.state.unsettled_owners_version
+        ):
             return
         self._settling = True
         eventlet.spawn_n(self._settle, owners_version)
--- a/libs/control/tests/failure_tests.py
+++ b/libs/control/tests/failure_tests.py
@@ -221,13 +221,13 @@
         link.request(Heartbeat(node, 0, 0), WAIT_SECONDS)
         heartbeats.append((link, node))
         group.wait_until(lambda key=name: key in [one.entry_id for one in state.view().entries])
-    assert state.unsettled_owners == 2
+    assert state.unsettled_owners_version == 2
     link, node = heartbeats[0]
     link.request(Heartbeat(node, 0, 0, settled_owners=1), WAIT_SECONDS)
     eventlet.sleep(0.1)
-    assert state.unsettled_owners == 2
+    assert state.unsettled_owners_version == 2
     link.request(Heartbeat(node, 0, 0, settled_owners=2), WAIT_SECONDS)
-    group.wait_until(lambda: state.unsettled_owners == 0)
+    group.wait_until(lambda: state.unsettled_owners_version == 0)
     assert state.view().settled_version == 2
 
 
--- a/libs/entry/tarragonhall_entry/_follower.py
+++ b/libs/entry/tarragonhall_entry/_follower.py
@@ -51,8 +51,8 @@
         """Handle the reply to a heartbeat."""
         super().confirm(fresh, sent_at)
         # The lease on granting tokens may be extended only with the freshness lease.
-        if self._fresh_since is not None:
-            self._rates.on_fresh(self._fresh_since)
+        if self._lease_start is not None:
+            self._rates.on_fresh(self._lease_start)
 
     def _update_links(self, before: View) -> None:
         """Dial new servers now, so that their first call need not wait, and drop removed ones."""
--- a/libs/state/tarragonhall_state/_follower.py
+++ b/libs/state/tarragonhall_state/_follower.py
@@ -30,7 +30,7 @@
     """A read-only copy of the policy and the view, with its freshness lease."""
 
     __slots__ = (
-        "_fresh_since",
+        "_lease_start",
         "fencing",
         "key_by_hash",
         "lease_seconds",
@@ -54,7 +54,7 @@
         self.view = View(0, [], [])
         self.relay: RelayDocument | None = None
         self.fencing = 0
-        self._fresh_since: float | None = None
+        self._lease_start: float | None = None
 
     def apply_policy(self, delta: PolicyDelta) -> bool:
         """Apply a delta based on the current revision, or a full set; ignore older ones."""
@@ -115,12 +115,12 @@
         self.fencing = max(self.fencing, fresh.fencing)
         if self.settings_revision < fresh.settings_revision or self.view.epoch < fresh.view_epoch:
             return
-        if self._fresh_since is None or sent_at > self._fresh_since:
-            self._fresh_since = sent_at
+        if self._lease_start is None or sent_at > self._lease_start:
+            self._lease_start = sent_at
 
     def is_fresh(self, now: float) -> bool:
         """Return whether this process may act on its replica. Check right before every use."""
-        return self._fresh_since is not None and now - self._fresh_since < self.lease_seconds
+        return self._lease_start is not None and now - self._lease_start < self.lease_seconds
 
     def _merge(self, delta: PolicyDelta) -> None:
         for organisation in delta.organisations:
--- a/libs/state/tarragonhall_state/_machine.py
+++ b/libs/state/tarragonhall_state/_machine.py
@@ -110,7 +110,7 @@
             return Refusal(RefusalCode.BAD_INPUT, "expected a command")
         self._clock_ms = max(self._clock_ms, command.at_ms)
         digest = body_digest(command.body)
-        earlier = self.remembered(command.request_id)
+        earlier = self.find_request(command.request_id)
         if earlier is not None:
             if earlier.digest != digest:
                 message = "this request id was used for something else"
@@ -118,7 +118,7 @@
             return self.repeat_result(earlier)
         return self._execute(command, digest)
 
-    def remembered(self, request_id: str) -> Remembered | None:
+    def find_request(self, request_id: str) -> Remembered | None:
         """Return the stored result of an applied request, or None."""
         found = self._operator_requests.find(request_id)
         return found if found is not None else self._journal_requests.find(request_id)
@@ -141,7 +141,7 @@
         return self._views.epoch
 
     @property
-    def unsettled_owners(self) -> int:
+    def unsettled_owners_version(self) -> int:
         """Return the owners version while earlier owners may still act, otherwise 0."""
         views = self._views
         return views.owners_version if views.settled_version < views.owners_version else 0
@@ -167,7 +167,7 @@
         """Return the record of the backend server's current incarnation, or None."""
         return self._views.server_by_id.get(server_id)
 
-    def announced(
+    def announced_record(
         self, node: EntryRecord | ServerRecord | StoreRecord
     ) -> EntryRecord | ServerRecord | StoreRecord | None:
         """Return the announced record under the id of a node, without the operators' drain."""
@@ -212,7 +212,7 @@
         """Return the number of stored programs, ended ones included."""
         return sum(journal.count() for journal in self._journals)
 
-    def living(self, program_ids: list[str]) -> Living:
+    def open_programs(self, program_ids: list[str]) -> Living:
         """Return the ids of the given programs that are open."""
         return Living([one for one in program_ids if self._journal(one).open_programs([one])])
 
--- a/libs/state/tarragonhall_state/_tree.py
+++ b/libs/state/tarragonhall_state/_tree.py
@@ -150,7 +150,7 @@
                 found.append(SettingChange(first.path, first.name, first.old, last.new))
         return found
 
-    def oldest_reachable(self, revision: int) -> int:
+    def oldest_revision(self, revision: int) -> int:
         """Return the oldest revision to which the history can roll back."""
         return self.history[0].revision - 1 if self.history else revision
 
@@ -166,7 +166,7 @@
 
     def _plan_rollback(self, change: RollBack) -> tuple[dict, list[Finding]]:
         latest = self.history[-1].revision if self.history else 0
-        oldest = self.oldest_reachable(latest)
+        oldest = self.oldest_revision(latest)
         if not oldest <= change.to_revision <= latest:
             text = f"expected a revision from {oldest} to {latest}, which the history holds"
             return {}, [Finding("/to_revision", text)]
--- a/libs/state/tests/calls_tests.py
+++ b/libs/state/tests/calls_tests.py
@@ -309,7 +309,7 @@
     assert journal(ExpirePrograms()).program_ids == []
     journal.now_ms += 1_000
     assert journal(ExpirePrograms()).program_ids == ["prog-1"]
-    assert journal.state.living(["prog-1"]).program_ids == []
+    assert journal.state.open_programs(["prog-1"]).program_ids == []
     journal.restart()
     journal.now_ms += ENDED_PROGRAM_RETENTION_MS
     journal(ExpirePrograms())
