--- a/libs/control/tests/orders_tests.py
+++ b/libs/control/tests/orders_tests.py
@@ -94,7 +94,7 @@
 @pytest.fixture(autouse=True)
 def short_timeouts(monkeypatch):
     """Shorten the timeout of orders and the backoff after a failed one."""
-    monkeypatch.setattr(_backend, "ORDER_SECONDS", 0.4)
+    monkeypatch.setattr(_backend, "ORDER_TIMEOUT_SECONDS", 0.4)
     monkeypatch.setattr(_order_sender, "FAILURE_BACKOFF_SECONDS", 0.2)
 
 
@@ -114,7 +114,7 @@
     """A new version is put in force while callers use the old one. If both engines loaded it at
     once, every call would wait or be rejected.
     """
-    monkeypatch.setattr(_backend, "ORDER_SECONDS", 3.0)
+    monkeypatch.setattr(_backend, "ORDER_TIMEOUT_SECONDS", 3.0)
     group = start_order_group("one")
     pair = [start_sidecar(group, "s1"), start_sidecar(group, "s2")]
     group.wait_until(lambda: all(one.serves_version("1") for one in pair))
@@ -213,7 +213,7 @@
     weights would be loaded again.
     """
     monkeypatch.setattr(_order_sender, "RESPONSE_TIMEOUT_SECONDS", 0.2)
-    monkeypatch.setattr(_backend, "ORDER_SECONDS", 3.0)
+    monkeypatch.setattr(_backend, "ORDER_TIMEOUT_SECONDS", 3.0)
     received_ids = []
     handle_order = Sidecars.on_order
 
--- a/libs/sidecar/tarragonhall_sidecar/_backend.py
+++ b/libs/sidecar/tarragonhall_sidecar/_backend.py
@@ -34,7 +34,7 @@
 # For probes, listings and cancels, which a healthy server answers between two tokens.
 CONTROL_TIMEOUT_SECONDS = 2.0
 # The engine answers only after it has loaded the model's weights.
-ORDER_SECONDS = 120.0
+ORDER_TIMEOUT_SECONDS = 120.0
 # Tokens within this interval share one message: a reader sees no difference, and the link carries
 # fewer messages.
 CHUNK_INTERVAL_SECONDS = 0.02
@@ -170,7 +170,7 @@
             "model": order.model,
             "version": order.version,
         }
-        self.request("POST", "/v1/orders", fields, ORDER_SECONDS)
+        self.request("POST", "/v1/orders", fields, ORDER_TIMEOUT_SECONDS)
 
     def _run(self, dispatch: Dispatch, seconds_left: float, on_text: Callable) -> RunFinished:
         if dispatch.spec.kind is CallKind.MODEL:
--- a/libs/sidecar/tests/failures_tests.py
+++ b/libs/sidecar/tests/failures_tests.py
@@ -282,7 +282,7 @@
     """The engine loads a version but its answer is lost. If the order counted as failed, or the
     next leader repeated it, the engine would load the weights twice and serve no calls meanwhile.
     """
-    monkeypatch.setattr(_backend, "ORDER_SECONDS", 0.2)
+    monkeypatch.setattr(_backend, "ORDER_TIMEOUT_SECONDS", 0.2)
     engine_harness.control.confirm(fencing=6)
     engine_harness.fake.faults.add(Fault(FaultKind.HANG, match='"order": "o1"'))
     assert engine_harness.link.request(EngineOrder("o1", 6, "load_model", "m", "2"), 2).done
