--- a/libs/decisions/tarragonhall_decisions/__init__.py
+++ b/libs/decisions/tarragonhall_decisions/__init__.py
@@ -17,7 +17,7 @@
     "_cache": (
         "HeldPrefix",
         "should_move",
-        "to_release",
+        "select_releases",
     ),
     "_cold_servers": (
         "ColdServers",
--- a/libs/decisions/tarragonhall_decisions/_cache.py
+++ b/libs/decisions/tarragonhall_decisions/_cache.py
@@ -40,7 +40,7 @@
     active: bool = True
 
 
-def to_release(held: list[HeldPrefix], capacity_tokens: int) -> list[str]:
+def select_releases(held: list[HeldPrefix], capacity_tokens: int) -> list[str]:
     """Return the programs whose memory should be freed now, ended ones first."""
     released = [item.program_id for item in held if not item.active and item.idle_s is not None]
     used = sum(item.tokens for item in held if item.active or item.idle_s is None)
--- a/libs/decisions/tests/planning_tests.py
+++ b/libs/decisions/tests/planning_tests.py
@@ -14,9 +14,9 @@
     ModelOrders,
     Need,
     Router,
+    select_releases,
     should_move,
     subset,
-    to_release,
 )
 from tarragonhall_model import LoadReport, ServerKind, ServerRecord
 
@@ -154,8 +154,8 @@
         HeldPrefix("long-idle", 300, 300.0),
         HeldPrefix("fresh", 300, 1.0),
     ]
-    assert to_release(held, 10_000) == ["ended"]
-    assert to_release(held, 1_100) == ["ended", "long-idle"]
+    assert select_releases(held, 10_000) == ["ended"]
+    assert select_releases(held, 1_100) == ["ended", "long-idle"]
 
 
 def test_cache_moves_only_where_that_is_quicker():
--- a/libs/sidecar/tarragonhall_sidecar/_reconcile.py
+++ b/libs/sidecar/tarragonhall_sidecar/_reconcile.py
@@ -12,7 +12,7 @@
 import sys
 from dataclasses import dataclass
 
-from tarragonhall_decisions import HeldPrefix, to_release
+from tarragonhall_decisions import HeldPrefix, select_releases
 
 # 40 ids of 29 bytes every four seconds take 0.3 KB a second of a node's limit of 5 KB.
 MAX_QUERIED_PER_ROUND = 40
@@ -89,4 +89,4 @@
             idle = None if program_id in busy else idle_s
             prefixes.append(HeldPrefix(program_id, tokens, idle, living))
         capacity = self._listing.capacity
-        return to_release(prefixes, sys.maxsize if capacity is None else capacity)
+        return select_releases(prefixes, sys.maxsize if capacity is None else capacity)
