--- a/libs/consensus/tarragonhall_consensus/_limits.py
+++ b/libs/consensus/tarragonhall_consensus/_limits.py
@@ -41,7 +41,7 @@
     # promoted when a voter is unresponsive. The number is kept odd: four voters that are
     # partitioned into two halves have no majority on either side, and three survive the same single
     # loss.
-    most_voters: int = 0
+    max_voters: int = 0
     # A learner may be promoted to make up for a voter without contact for this long. Shorter than
     # `RECEIVE_TIMEOUT_SECONDS` of the links, after which one is closed and redialled.
     unresponsive_seconds: float = 2.5
@@ -70,7 +70,7 @@
     segment_bytes: int = 4 * 1024 * 1024
 
 
-def limits_for(election_s: float, base: Limits | None = None) -> Limits:
+def limits_for_election_timeout(election_s: float, base: Limits | None = None) -> Limits:
     """Return limits for another election timeout, with lease, heartbeat and retry in proportion.
 
     `unresponsive_seconds` and `transfer_timeout_seconds` are unchanged; the latter depends on the
--- a/libs/control/tarragonhall_control/_admin.py
+++ b/libs/control/tarragonhall_control/_admin.py
@@ -8,7 +8,7 @@
 from urllib.parse import parse_qsl
 
 import structlog
-from tarragonhall_group import LeadUnknownError, LoopBusyError
+from tarragonhall_group import LoopBusyError, OutcomeUnknownError
 from tarragonhall_model import (
     Finding,
     InputError,
@@ -76,7 +76,7 @@
                 "no leader is known; send the request again with the same request id"
             )
         try:
-            link = self._member.context.hub.wait_for(address, 1.0)
+            link = self._member.context.hub.wait_for_link(address, 1.0)
             return link.request(call, FORWARD_TIMEOUT_SECONDS)
         except (LinkError, RequestTimeoutError) as error:
             return _unavailable(f"the leader did not answer ({error}); send the request again")
@@ -101,7 +101,7 @@
         handler, path_params = self._route(call)
         # Reads below must not be older than a change that another leader may have accepted.
         if not self._member.confirm():
-            raise LeadUnknownError("a majority did not confirm this member as leader")
+            raise OutcomeUnknownError("a majority did not confirm this member as leader")
         operators = self._member.state.configuration.operators
         operator = operators.with_token(secret_hash(call.token)) if call.token else None
         if operator is None:
@@ -184,7 +184,7 @@
             return _error(422, "bad_input", "the request is invalid", error.findings)
         case LoopBusyError():
             return _error(429, "busy", str(error), (), {"Retry-After": RETRY_AFTER_SECONDS})
-        case LeadUnknownError():
+        case OutcomeUnknownError():
             message = f"{error}; send the request again with the same request id"
             return _error(503, "unavailable", message, (), {"Retry-After": RETRY_AFTER_SECONDS})
         case TarragonhallError():
--- a/libs/control/tarragonhall_control/_first_operator.py
+++ b/libs/control/tarragonhall_control/_first_operator.py
@@ -8,7 +8,7 @@
 
 import eventlet
 import structlog
-from tarragonhall_group import LeadUnknownError, LoopBusyError
+from tarragonhall_group import LoopBusyError, OutcomeUnknownError
 from tarragonhall_model import (
     TOKEN_PREFIX,
     Finding,
@@ -80,13 +80,13 @@
     if member.is_leader():
         try:
             return member.commit(command, request_id)
-        except (LoopBusyError, LeadUnknownError):
+        except (LoopBusyError, OutcomeUnknownError):
             return None
     address = member.leader_address()
     if address is None:
         return None
     try:
-        link = member.context.hub.wait_for(address, REQUEST_TIMEOUT_SECONDS)
+        link = member.context.hub.wait_for_link(address, REQUEST_TIMEOUT_SECONDS)
         reply = link.request(Propose(request_id, command), REQUEST_TIMEOUT_SECONDS)
     except LinkError:
         return None
--- a/libs/control/tarragonhall_control/_member.py
+++ b/libs/control/tarragonhall_control/_member.py
@@ -9,12 +9,12 @@
 from tarragonhall_consensus import Limits, RoleChanged
 from tarragonhall_decisions import StoreBootstrap, ToleratedLosses
 from tarragonhall_group import (
-    PROPOSE_SECONDS,
+    PROPOSE_TIMEOUT_SECONDS,
     GroupHooks,
     GroupMember,
-    LeadUnknownError,
     LogLoop,
     LoopBusyError,
+    OutcomeUnknownError,
 )
 from tarragonhall_model import (
     AnnounceEntry,
@@ -112,8 +112,8 @@
 
     def start(self) -> None:
         """Join the group and start the periodic tasks of the leader."""
-        self.context.hub.on_down(self._on_link_down)
-        self.context.hub.on_up(lambda link: self.nodes.link_opened(link.peer.incarnation))
+        self.context.hub.on_link_closed(self._on_link_down)
+        self.context.hub.on_link_open(lambda link: self.nodes.link_opened(link.peer.incarnation))
         self.group.start()
         eventlet.spawn_n(
             self._repeat_as_leader, NODE_CHECK_SECONDS, self._remove_unresponsive_nodes
@@ -175,15 +175,15 @@
     def commit(self, body: object, request_id: str | None = None) -> object:
         """Commit a command with the leader's clock and return its result.
 
-        Raises `LoopBusyError` if the command is certainly not in the log, `LeadUnknownError` if its
-        outcome is unknown.
+        Raises `LoopBusyError` if the command is certainly not in the log, `OutcomeUnknownError` if
+        its outcome is unknown.
         """
         if not self.is_leader():
-            raise LeadUnknownError("this member is not the leader")
+            raise OutcomeUnknownError("this member is not the leader")
         request_id = request_id or new_id("req", self.context.rng)
         command = Command(request_id, self.context.wall_ms(), body)
         started = self.context.monotonic()
-        result = self.loop.propose(encode(command), PROPOSE_SECONDS)
+        result = self.loop.propose(encode(command), PROPOSE_TIMEOUT_SECONDS)
         waited_ms = (self.context.monotonic() - started) * 1000
         self.context.metrics.timing("control.commit", waited_ms)
         stop_ended_programs(self.state, self.followers, body, result)
@@ -199,7 +199,7 @@
         key = node_key(node)
         if key in self._announcing:
             return
-        if not self.nodes.needs_announcement(node, self.state.announced(node)):
+        if not self.nodes.needs_announcement(node, self.state.announced_record(node)):
             return
         self._announcing.add(key)
         eventlet.spawn_n(self._announce, node)
@@ -209,7 +209,11 @@
 
         A new incarnation of an entry can then own at once what the previous one owned.
         """
-        if self._settling or owners_version == 0 or owners_version != self.state.unsettled_owners:
+        if (
+            self._settling
+            or owners_version == 0
+            or owners_version != self.state.unsettled_owners_version
+        ):
             return
         self._settling = True
         eventlet.spawn_n(self._settle, owners_version)
@@ -227,7 +231,7 @@
     def _announce(self, node: Node) -> None:
         try:
             self.commit(_announcement(node))
-        except (LoopBusyError, LeadUnknownError):
+        except (LoopBusyError, OutcomeUnknownError):
             # Retried with the node's next heartbeat, here or at the next leader.
             self.context.metrics.count("control.announce_failed")
         finally:
@@ -237,7 +241,7 @@
         try:
             self.commit(SettleOwners(owners_version))
             log.info("control.owners_settled", version=owners_version)
-        except (LoopBusyError, LeadUnknownError):
+        except (LoopBusyError, OutcomeUnknownError):
             # Retried with the next heartbeat of any entry, here or at the next leader.
             self.context.metrics.count("control.settle_failed")
         finally:
@@ -274,7 +278,7 @@
                 continue
             try:
                 action()
-            except (LoopBusyError, LeadUnknownError) as error:
+            except (LoopBusyError, OutcomeUnknownError) as error:
                 log.debug("control.repeat_failed", error=str(error))
 
     def _on_link_down(self, link: Link) -> None:
--- a/libs/control/tests/failure_tests.py
+++ b/libs/control/tests/failure_tests.py
@@ -64,7 +64,7 @@
     context, client = group.client("entry-1")
     body = OpenProgram("prog-1", "school", Budget(), 60, idempotency_key="key-1")
     leader = group.leader()
-    link = context.hub.wait_for(group.address_by_name[leader], WAIT_SECONDS)
+    link = context.hub.wait_for_link(group.address_by_name[leader], WAIT_SECONDS)
     first = link.request(Propose("req-1", body), WAIT_SECONDS)
     assert isinstance(first, Proposed)
     group.stop(leader)
@@ -104,7 +104,7 @@
     old = group.leader()
     context, follower, node = group.follower("entry-1")
     group.wait_until(lambda: follower.is_fresh(context.monotonic()))
-    link = context.hub.wait_for(group.address_by_name[old], WAIT_SECONDS)
+    link = context.hub.wait_for_link(group.address_by_name[old], WAIT_SECONDS)
     partition(group, old)
     reply = link.request(Heartbeat(node, 0, 0), WAIT_SECONDS)
     assert isinstance(reply, NotLeader)
@@ -198,7 +198,7 @@
     group = start_group("one")
     context, _ = group.client("entry-1")
     node = EntryRecord("entry-1", context.incarnation, context.link_address, "tx-waco")
-    link = context.hub.wait_for(group.address_by_name["one"], WAIT_SECONDS)
+    link = context.hub.wait_for_link(group.address_by_name["one"], WAIT_SECONDS)
     state = group.state("one")
     link.request(Heartbeat(node, 0, 0), WAIT_SECONDS)
     group.wait_until(lambda: state.view().entries == [node])
@@ -217,17 +217,17 @@
     for name in ("entry-1", "entry-2"):
         context, _ = group.client(name)
         node = EntryRecord(name, context.incarnation, context.link_address, "tx-waco")
-        link = context.hub.wait_for(group.address_by_name["one"], WAIT_SECONDS)
+        link = context.hub.wait_for_link(group.address_by_name["one"], WAIT_SECONDS)
         link.request(Heartbeat(node, 0, 0), WAIT_SECONDS)
         heartbeats.append((link, node))
         group.wait_until(lambda key=name: key in [one.entry_id for one in state.view().entries])
-    assert state.unsettled_owners == 2
+    assert state.unsettled_owners_version == 2
     link, node = heartbeats[0]
     link.request(Heartbeat(node, 0, 0, settled_owners=1), WAIT_SECONDS)
     eventlet.sleep(0.1)
-    assert state.unsettled_owners == 2
+    assert state.unsettled_owners_version == 2
     link.request(Heartbeat(node, 0, 0, settled_owners=2), WAIT_SECONDS)
-    group.wait_until(lambda: state.unsettled_owners == 0)
+    group.wait_until(lambda: state.unsettled_owners_version == 0)
     assert state.view().settled_version == 2
 
 
--- a/libs/entry/tarragonhall_entry/_follower.py
+++ b/libs/entry/tarragonhall_entry/_follower.py
@@ -51,8 +51,8 @@
         """Handle the reply to a heartbeat."""
         super().confirm(fresh, sent_at)
         # The lease on granting tokens may be extended only with the freshness lease.
-        if self._fresh_since is not None:
-            self._rates.renew_lease(self._fresh_since)
+        if self._lease_start is not None:
+            self._rates.renew_lease(self._lease_start)
 
     def _update_links(self, before: View) -> None:
         """Dial new servers now, so that their first call need not wait, and drop removed ones."""
@@ -63,7 +63,7 @@
         retained.update(self._context.control_addresses)
         members = [*before.servers, *before.entries]
         for address in {member.address for member in members} - retained:
-            self._context.hub.forget(address)
+            self._context.hub.disconnect(address)
 
     def _dial(self, address: str) -> None:
         try:
--- a/libs/group/tarragonhall_group/_join.py
+++ b/libs/group/tarragonhall_group/_join.py
@@ -10,7 +10,7 @@
 from tarragonhall_model import LinkError, record
 from tarragonhall_wire import Link, ProcessContext
 
-from tarragonhall_group._loop import LeadUnknownError
+from tarragonhall_group._loop import OutcomeUnknownError
 from tarragonhall_group._member import GroupMember
 from tarragonhall_group._repair import MemberRepair
 
@@ -125,12 +125,12 @@
         target = address
         self._leader = None
         try:
-            reply = self._context.hub.wait_for(target, JOIN_REQUEST_TIMEOUT_SECONDS).request(
+            reply = self._context.hub.wait_for_link(target, JOIN_REQUEST_TIMEOUT_SECONDS).request(
                 message, JOIN_REQUEST_TIMEOUT_SECONDS
             )
             if not reply.leads and reply.leader is not None and reply.leader != target:
                 target = reply.leader
-                link = self._context.hub.wait_for(target, JOIN_REQUEST_TIMEOUT_SECONDS)
+                link = self._context.hub.wait_for_link(target, JOIN_REQUEST_TIMEOUT_SECONDS)
                 reply = link.request(message, JOIN_REQUEST_TIMEOUT_SECONDS)
         except LinkError as error:
             log.debug("group.join_unheard", address=target, error=str(error))
@@ -158,6 +158,6 @@
                 self._member.loop.change_member(
                     change.member, change.remove, change.replace, CHANGE_TIMEOUT_SECONDS
                 )
-            except LeadUnknownError as error:
+            except OutcomeUnknownError as error:
                 # Another change may be in progress; the next round retries with the state by then.
                 log.info("group.member_change_failed", error=str(error))
--- a/libs/sidecar/tests/failures_tests.py
+++ b/libs/sidecar/tests/failures_tests.py
@@ -211,10 +211,10 @@
     body = "agenda [tokens=60]"
     attempt = engine_harness.send("p1", body)
     eventually(lambda: engine_harness.text_of(attempt))
-    engine_harness.entry.hub.forget(engine_harness.context.link_address)
+    engine_harness.entry.hub.disconnect(engine_harness.context.link_address)
     engine_harness.received_by_attempt.clear()
     eventlet.sleep(0.05)
-    link = engine_harness.entry.hub.wait_for(engine_harness.context.link_address, 2)
+    link = engine_harness.entry.hub.wait_for_link(engine_harness.context.link_address, 2)
     link.request(Attach(attempt), 2)
     expected = " ".join(answer_to(body, 100))
     assert engine_harness.end_of(attempt).answer.text == expected
@@ -282,7 +282,7 @@
     """The engine loads a version but its answer is lost. If the order counted as failed, or the
     next leader repeated it, the engine would load the weights twice and serve no calls meanwhile.
     """
-    monkeypatch.setattr(_backend, "ORDER_SECONDS", 0.2)
+    monkeypatch.setattr(_backend, "ORDER_TIMEOUT_SECONDS", 0.2)
     engine_harness.control.confirm(fencing=6)
     engine_harness.fake.faults.add(Fault(FaultKind.HANG, match='"order": "o1"'))
     assert engine_harness.link.request(EngineOrder("o1", 6, "load_model", "m", "2"), 2).done
--- a/libs/state/tarragonhall_state/_tree.py
+++ b/libs/state/tarragonhall_state/_tree.py
@@ -4,7 +4,7 @@
 
 from dataclasses import field
 
-from tarragonhall_model import Finding, escape, mutable_record, record
+from tarragonhall_model import Finding, escape_json_pointer, mutable_record, record
 
 from tarragonhall_state._commands import (
     ChangeRecord,
@@ -150,7 +150,7 @@
                 found.append(SettingChange(first.path, first.name, first.old, last.new))
         return found
 
-    def oldest_reachable(self, revision: int) -> int:
+    def oldest_revision(self, revision: int) -> int:
         """Return the oldest revision to which the history can roll back."""
         return self.history[0].revision - 1 if self.history else revision
 
@@ -166,7 +166,7 @@
 
     def _plan_rollback(self, change: RollBack) -> tuple[dict, list[Finding]]:
         latest = self.history[-1].revision if self.history else 0
-        oldest = self.oldest_reachable(latest)
+        oldest = self.oldest_revision(latest)
         if not oldest <= change.to_revision <= latest:
             text = f"expected a revision from {oldest} to {latest}, which the history holds"
             return {}, [Finding("/to_revision", text)]
@@ -179,7 +179,7 @@
             wanted.update({(path, name): None for name in values})
         findings = []
         for path, values in change.nodes.items():
-            place = f"/nodes/{escape(path)}"
+            place = f"/nodes/{escape_json_pointer(path)}"
             wrong = check_path(path, place)
             if not wrong and not is_within(path, change.path):
                 wrong = [Finding(place, f"is not within {change.path}")]
