--- a/libs/decisions/tarragonhall_decisions/_backend_choice.py
+++ b/libs/decisions/tarragonhall_decisions/_backend_choice.py
@@ -1,5 +1,7 @@
 """Chooses the backend server for a relayed call.
 
+An engine is a backend server that runs a model; a plain server runs any other service.
+
 Load patterns and the design rule that answers each:
 - Turns of one program, and programs on one subject, share a prompt prefix. On any other engine
   thousands of tokens would be read again, at the cost of the other calls there, so calls prefer the
@@ -23,11 +25,12 @@
   from run times (`ServiceRunTimes`).
 - An unresponsive server or zone is detected by all entries together (`UnresponsiveServers`).
 - A slow or hung plain server takes as many calls as the others and delays each. Its share falls
-  as its calls take longer. A slow engine shows in the calls that pile up there; judged by the
-  pauses of its streams as well, engines lost calls by chance.
+  as its calls take longer. A slow engine is avoided only for the calls that pile up there: when
+  pauses in streams counted as well, engines lost calls by chance.
 - Availability zones: traffic between zones is paid for, so servers in the entry's zone win near
-  ties. A zone with enough servers to lose one keeps its calls, unless the wait outweighs the bytes
-  that the rest of the program would carry, and its servers read shared prefixes for themselves.
+  ties. A zone with enough servers to lose one keeps its calls, unless the wait there costs more
+  than sending the bytes of the rest of the program to another zone. The servers of such a zone read
+  shared prefixes themselves, even if servers of other zones hold them.
 
 All weights are expected milliseconds until the first byte of the answer.
 """
@@ -55,7 +58,8 @@
 # Cost of a call to another availability zone: the round trip and the price of the bytes, together
 # about as much as reading 500 prompt tokens again.
 ZONE_MS = 15.0
-# A zone with at least this many servers of a service keeps its own calls and shared prefixes.
+# A zone with at least this many servers of a service can lose one, so it keeps its own calls and
+# shared prefixes.
 MIN_LOCAL_SERVERS = 4
 # Added for each 1,000 bytes that a call sends out of such a zone, up to `MAX_ZONE_MS`.
 ZONE_MS_PER_KB = 3.0
@@ -81,7 +85,8 @@
 # Key of the load of all other entries, where only its sum is known.
 ALL_OTHERS = ""
 NO_SIGNS = ServerSigns()
-# Prompt parts whose holders are remembered; the least recently used is dropped first.
+# Prompt parts whose holders are remembered; the least recently used is dropped first. Also limits
+# the cached results of the rendezvous hash.
 MAX_REMEMBERED_PARTS = 20_000
 MAX_HOLDERS_PER_PART = 4
 # Servers of a service up to which a choice compares all. Beyond, it compares those that hold a part
@@ -240,7 +245,7 @@
         )
 
     def _rebuild_indexes(self) -> None:
-        """Rebuild the indexes of servers that may get calls and of zones that keep theirs."""
+        """Rebuild the indexes of servers that may get calls, and of services kept in the zone."""
         self._servers_by_service = {}
         for record in self._records:
             if record.gone or record.draining:
@@ -489,7 +494,7 @@
         holders = self._holders_by_part.get(part.part_id)
         if holders is not None and server_id in holders:
             return True
-        # No holder is known; entries without knowledge agree on one server by the hash.
+        # Where no holder is known, all entries treat the server chosen by the hash as the holder.
         return part is requirements.parts[0] and preferred == server_id
 
     def _preferred_server(self, requirements: CallRequirements) -> str | None:
--- a/libs/decisions/tarragonhall_decisions/_cold_servers.py
+++ b/libs/decisions/tarragonhall_decisions/_cold_servers.py
@@ -4,12 +4,12 @@
 just started can run few calls a second and crash above that, while they are idle and so the first
 choice of every entry. Entries that each keep to the limit exceed it many times together.
 
-Each cold server has a few senders: entries picked from the view by a hash, those of its own zone
-first. Each sender has an equal share of the limit over any second; two more shares stay unused, for
-entries that freeze between a decision and its call. No coordination is needed: an entry that the
-view newly names waits for `VIEW_VALID_S`, and one whose view was not confirmed for as long stops,
-so senders of two views never overlap. An entry that is cut off from control sends cold servers
-nothing.
+Each cold server has a few senders: entries that a hash picks from the view (the list of members),
+those of its own zone first. Each sender has an equal share of the limit over any second; two more
+shares stay unused, for entries that freeze between a decision and its call. No coordination is
+needed: an entry that the view newly names waits for `VIEW_VALID_S`, and one whose view was not
+confirmed for as long stops, so senders of two views never overlap. An entry that is cut off from
+control sends cold servers nothing.
 
 Inputs: views and their confirmations, server announcements, calls sent. Times are monotonic
 seconds.
@@ -27,7 +27,7 @@
 VIEW_VALID_S = 1.5
 # Calls in a second that a sender should have at least; a small limit has fewer senders.
 MIN_SHARE = 4
-# Shares that no sender uses.
+# Shares that no sender uses, for entries that freeze between a decision and its call.
 SPARE_SHARES = 2
 # Seconds over which calls count, with a margin for clocks that differ.
 WINDOW_S = 1.02
--- a/libs/decisions/tarragonhall_decisions/_drain.py
+++ b/libs/decisions/tarragonhall_decisions/_drain.py
@@ -18,7 +18,10 @@
 
 
 class DrainPhase(enum.Enum):
-    """The phases of a shutdown, in order."""
+    """The phases of a shutdown, in order.
+
+    It ends as `LEFT` when no call is open, or as `FORCED` when the calls still open are cut off.
+    """
 
     SERVING = "serving"
     NOT_READY = "not_ready"
--- a/libs/decisions/tarragonhall_decisions/_load_digest.py
+++ b/libs/decisions/tarragonhall_decisions/_load_digest.py
@@ -29,9 +29,11 @@
 MAX_DIRECT_ENTRIES = 16
 # Collectors of each availability zone.
 COLLECTORS_PER_ZONE = 2
-# Seconds after which the load of an entry or zone that sends none is dropped.
+# Seconds after which the load of an entry or zone that sends none is dropped. An entry sends
+# its load at least once in 0.8 s, a zone its sum about every 0.6 s.
 LOAD_VALID_S = 1.5
-# Seconds between two sums that a zone sends to the others.
+# Least seconds between two sums that a collector sends to other zones. They are sent seldom, as few
+# calls leave their zone.
 ZONE_SUM_INTERVAL_S = 0.55
 
 NO_SIGNS = ServerSigns()
@@ -139,7 +141,7 @@
         return messages
 
     def _is_zone_sum_due(self, now: float) -> bool:
-        """Return whether other zones need the sum again; seldom, as few calls leave their zone."""
+        """Return whether the sum is due at other zones; seldom, as few calls leave their zone."""
         if now - self._zones_sent_at < ZONE_SUM_INTERVAL_S:
             return False
         self._zones_sent_at = now
--- a/libs/decisions/tarragonhall_decisions/_quarantine.py
+++ b/libs/decisions/tarragonhall_decisions/_quarantine.py
@@ -20,6 +20,7 @@
 # Seconds without a crash after which a request is no longer suspected, far longer than a caller's
 # retries last, so that one crash of a server does not slow its requests for good.
 FORGET_AFTER_S = 600.0
+# Sent to the caller with the refusal: the same time, in milliseconds.
 RETRY_AFTER_MS = 600_000
 
 
--- a/libs/decisions/tarragonhall_decisions/_routing.py
+++ b/libs/decisions/tarragonhall_decisions/_routing.py
@@ -28,10 +28,10 @@
 # Seconds of a round trip to another availability zone: half a millisecond each way, doubled, since
 # both the dispatch and the answer cross.
 ZONE_ROUND_TRIP_S = 0.002
-# Share of a server's window that new programs may fill.
+# Share of a server's window that new programs may fill; the rest is kept for running programs.
 NEW_PROGRAM_SHARE = 0.9
-# Up to this many windows, a program may queue behind the server that holds its prefix, where that
-# is cheaper than recomputing.
+# Multiple of the window up to which calls may be sent to the server that holds their program's
+# prefix. Those beyond the window queue there, where that is cheaper than recomputing.
 MAX_AFFINITY_WINDOWS = 2.0
 # Seconds between two updates of the weights.
 ADAPT_INTERVAL_S = 0.25
--- a/libs/decisions/tarragonhall_decisions/_server_window.py
+++ b/libs/decisions/tarragonhall_decisions/_server_window.py
@@ -1,13 +1,13 @@
-"""Limits one entry's calls in flight at a server, by its refusals.
+"""Limits one entry's calls in flight at a server after the server refused a call as full.
 
 Load pattern: more calls arrive than the servers can run. A server without a free slot or room in
 its queue refuses, which costs a round trip and work on both sides. If refused calls went to the
 next server at once, and again after a pause, nearly all calls would be refused.
 
 The window falls to the calls that ran there when the server refused, so that another is sent only
-when one of this entry's own has ended. Entries that do not know each other share a server this way,
-and each keeps what it had. The window grows with time and not with answers: one call at a time
-finds slots that other entries no longer use.
+when one of this entry's own has ended. Entries share a server this way without knowing of each
+other, and each keeps the slots it had. The window grows with time and not with answers: one call at
+a time finds slots that other entries no longer use.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 # probes after a turn, one of eight every 60 ms, and a server that is free again is used in full
 # within two seconds.
 DOUBLING_S = 0.5
-# Window after a refusal where this entry has no call at the server: a pause of a tenth of a second,
-# in which some of a server's 6 to 96 slots come free.
+# Window after a refusal where this entry has no call at the server. Below 1 no call may be sent; it
+# grows to 1 in a tenth of a second, in which some of a server's 6 to 96 slots come free.
 IDLE_WINDOW = 0.87
-# Factor by which each further refusal in a row shrinks the window, which lengthens that pause by as
-# much.
+# Factor by which each further refusal in a row shrinks the window, which lengthens that pause by
+# another tenth of a second.
 REPEATED_REFUSAL_FACTOR = 0.87
-# Smallest window.
+# Smallest window, which limits that pause to one second.
 MIN_WINDOW = 0.25
 # No server is as large as a window after this many doublings; an unlimited power overflows after
 # minutes.
--- a/libs/decisions/tarragonhall_decisions/_service_run_times.py
+++ b/libs/decisions/tarragonhall_decisions/_service_run_times.py
@@ -12,8 +12,8 @@
   more running call costs cannot be a constant.
 
 What is learnt: the run time of a service as a moving mean, and for each plain server the moving
-mean of the ratio of its calls' run times to the means of their routes. A call in flight for several
-run times counts before it ends.
+mean of the ratio of its calls' run times to the mean of their kind (in the relay, their route). A
+call in flight for several run times counts before it ends.
 """
 
 from __future__ import annotations
@@ -24,8 +24,8 @@
 INITIAL_RUN_MS = 500.0
 # Weight of a new run time in the moving mean, which follows a change within about 20 calls.
 RUN_SMOOTHING = 0.05
-# Weight of a new ratio of a server's run time to the mean. It keeps the error of the ratio at a
-# third, as run times vary by as much as their mean.
+# Weight of a new ratio of a server's run time to the mean. Run times vary by as much as their mean;
+# with this weight the error of the learnt ratio is about a third.
 RATIO_SMOOTHING = 0.2
 # Ratio up to which a server does not count as slow, above the error: a server that counted as slow
 # by chance would lose its calls to others that are no better.
--- a/libs/decisions/tarragonhall_decisions/_unresponsive_servers.py
+++ b/libs/decisions/tarragonhall_decisions/_unresponsive_servers.py
@@ -5,12 +5,12 @@
 server few calls: each would lose some of its own before it knew, and a stream may not be sent
 again.
 
-A call is overdue once it has waited several mean answer times for its first answer, and for a while
-after its caller has left. Entries send each other the number of their overdue calls at each server
-and of the calls it answered within a second. A server that answers more than are overdue has lost
-some answers or has a queue, and calls must not move from it to engines that would read their
-prompts again. Where a whole zone has more overdue calls than answers, this counts against each
-server there that answers none.
+A call is overdue once it has waited several mean answer times for its first answer. It still counts
+for a while after its caller has left. Entries send each other the number of their overdue calls at
+each server and of the calls it answered within a second. A server that answers more calls than are
+overdue has only lost some answers or has a queue. It is given no cost, or calls would move to
+engines that must read their prompts again. Where a whole zone has more overdue
+calls than answers, this counts against each server there that answers none.
 
 Inputs: calls sent, answered and left, and the counts of other entries. Output: the expected wait
 for each unresponsive server. Times are monotonic seconds, costs milliseconds.
@@ -31,15 +31,15 @@
 # Assumed mean time to the first answer before any was seen.
 INITIAL_ANSWER_S = 0.25
 ANSWER_SMOOTHING = 0.05
-# Seconds for which an answer counts for its server, and an overdue call whose caller left against
-# it.
+# Seconds for which an answer counts in favour of its server.
 ANSWER_VALID_S = 1.0
+# Seconds for which an overdue call counts against its server after its caller has left.
 LOST_CALL_VALID_S = 1.5
 # Cost of a server with one overdue call and no answer.
 UNRESPONSIVE_MS = 400.0
 # Weight of a zone's overdue calls for each of its servers.
 ZONE_WEIGHT = 0.5
-# Seconds for which computed costs are used again.
+# Seconds for which computed costs are reused, unless counts of other entries arrive.
 COST_REFRESH_S = 0.04
 # Servers that must have overdue calls before their zone counts.
 MIN_ZONE_SERVERS = 2
