--- a/libs/control/tarragonhall_control/_admin.py
+++ b/libs/control/tarragonhall_control/_admin.py
@@ -99,7 +99,7 @@
 
     def _handle(self, call: AdminCall) -> AdminReply:
         handler, path_params = self._route(call)
-        # Reads below must not be older than a change that another leader may have accepted.
+        # The reads below must not miss a change that another leader may have accepted.
         if not self._member.confirm():
             raise OutcomeUnknownError("a majority did not confirm this member as leader")
         operators = self._member.state.configuration.operators
--- a/libs/control/tarragonhall_control/_admin_system.py
+++ b/libs/control/tarragonhall_control/_admin_system.py
@@ -32,7 +32,7 @@
 MAX_PROGRAMS = 1_000
 # One hanging process must not delay the timeline of all others.
 TIMELINE_TIMEOUT_SECONDS = 2.0
-# A learner that is far behind has to load a snapshot first.
+# Leaves time for a learner that is far behind to load a snapshot first.
 MEMBER_CHANGE_TIMEOUT_SECONDS = 60.0
 
 
--- a/libs/control/tarragonhall_control/_first_operator.py
+++ b/libs/control/tarragonhall_control/_first_operator.py
@@ -94,7 +94,7 @@
 
 
 def _write_durably(path: Path, text: str) -> None:
-    """Write a file atomically, so that it survives a power cut complete and under its name."""
+    """Write a file atomically; once this returns, the file survives a power failure."""
     temporary = path.with_suffix(".tmp")
     with open(temporary, "w", opener=_open_private) as file:
         file.write(text)
--- a/libs/control/tarragonhall_control/_link_service.py
+++ b/libs/control/tarragonhall_control/_link_service.py
@@ -68,8 +68,8 @@
     """Handlers of messages from other processes to a control member.
 
     A confirmation of the leadership costs a round trip to every member, so heartbeats share them
-    and wait up to `BATCH_SECONDS` for it (see `_confirmation`). Queries are confirmed singly, at
-    once.
+    and wait up to `BATCH_SECONDS` for it (see `_confirmation`). Each query is confirmed
+    separately and at once.
     """
 
     __slots__ = ("_confirmation", "_member")
@@ -118,7 +118,7 @@
         if not self._confirmation.join():
             return self._not_leader()
         state = member.state
-        # Earlier owners of rates have stopped, as far as the sender has waited them out.
+        # 0 until the sender has waited long enough for all earlier owners of rates to have stopped.
         member.on_owners_settled(heartbeat.settled_owners)
         behind = heartbeat.settings_revision < state.revision
         view, delta = member.followers.view_since(heartbeat.view_epoch)
--- a/libs/control/tarragonhall_control/_member.py
+++ b/libs/control/tarragonhall_control/_member.py
@@ -52,7 +52,7 @@
 LOG_FOLDER = "log"
 # An unresponsive node leaves the view at most this long after its timeout.
 NODE_CHECK_SECONDS = 0.25
-# Programs expire to the second; each check that finds expired ones costs one commit.
+# An expired program ends at most this late; each check that finds expired ones costs one commit.
 EXPIRY_CHECK_SECONDS = 1.0
 # Short compared with loading weights, which takes tens of seconds.
 ORDER_STEP_SECONDS = 0.5
@@ -145,13 +145,13 @@
         return tuple(member.address for member in self.loop.replica.status().members)
 
     def relay_document(self) -> RelayHeld | NotLeader:
-        """Return the relay document in force after a majority confirmed the leadership."""
+        """Return the relay document in force, once a majority has confirmed the leadership."""
         if not self.confirm():
             return NotLeader(self.leader_address())
         return RelayHeld(self.state.relay)
 
     def retirement(self, store_id: str) -> StoreRetiring | Refusal | NotLeader:
-        """Return the progress of a store's retirement after a majority confirmed the leadership."""
+        """Return the progress of a retirement, once a majority has confirmed the leadership."""
         if not self.confirm():
             return NotLeader(self.leader_address())
         return self.state.retirement(store_id)
@@ -254,7 +254,8 @@
             elapsed_s = self.nodes.seconds_since_heartbeat(node, now)
             log.warning("control.node_silent", node=node_key(node), silent_s=round(elapsed_s, 3))
             self.context.timeline.add("node_silent", node=node_key(node))
-            # Its lease began at a heartbeat received here or by an earlier leader.
+            # An entry owns no rates after `ownership_ms` without a heartbeat, whether its last one
+            # reached this leader or an earlier one.
             self.remove(node, stopped=elapsed_s > self._ownership_s)
 
     def _bootstrap_stores(self) -> None:
--- a/libs/control/tarragonhall_control/_nodes.py
+++ b/libs/control/tarragonhall_control/_nodes.py
@@ -6,11 +6,13 @@
 
 Node = EntryRecord | ServerRecord | StoreRecord
 
-# Far above the interval of the checks: a longer gap means that this process itself was paused.
+# Far above the interval between checks (`NODE_CHECK_SECONDS`): a longer gap means that this
+# process itself was paused.
 PAUSE_THRESHOLD_SECONDS = 1.0
 # A running entry reconnects within 0.15 s of a closed link. A killed entry is back at its address
-# after 0.9 to 1.4 s and then owns its organisations' rates at once. If it left the view before, its
-# rates would go to other entries, which first wait until it has certainly stopped.
+# after 0.9 to 1.4 s and then owns its organisations' rates at once. If it were removed from the
+# view earlier, its rates would go to other entries, which first wait until it has certainly
+# stopped.
 CLOSED_LINK_TIMEOUT_SECONDS = 1.4
 
 
@@ -123,7 +125,7 @@
         return expired
 
     def seconds_since_heartbeat(self, node: Node, now: float) -> float:
-        """Return the seconds since a node's last heartbeat."""
+        """Return the seconds since a node's last heartbeat, or since a later reset of timeouts."""
         return now - self._last_heartbeat_at(node)
 
     def _is_disconnected(self, entry: EntryRecord, now: float) -> bool:
--- a/libs/control/tarragonhall_control/_order_plan.py
+++ b/libs/control/tarragonhall_control/_order_plan.py
@@ -22,7 +22,7 @@
 
 LOAD_MODEL = "load_model"
 UNLOAD = "unload"
-# Loads older than an entry's timeout no longer count as demand.
+# Load reports older than the default `entry_timeout_ms` no longer count as demand.
 MAX_LOAD_AGE_SECONDS = 4.0
 
 
@@ -72,7 +72,10 @@
 
 @dataclass(slots=True)
 class OrderPlan:
-    """The plan of orders during one term of leadership."""
+    """The plan of orders during one term of leadership.
+
+    `held_models` are the models whose version change waits because no replica can be spared.
+    """
 
     held_models: set[str] = field(default_factory=set)
     _reported_by_key: dict[str, ReportedLoad] = field(default_factory=dict)
@@ -100,7 +103,7 @@
     # Version changes, one server at a time.
 
     def _version_steps(self, model: ModelPolicy, engines: Engines) -> list[Step]:
-        """Return at most one load of the version in force; hold it if no replica can be spared."""
+        """Return at most one load of the version in force, or none if no replica can be spared."""
         outdated = [
             server
             for server in engines.by_id.values()
--- a/libs/control/tarragonhall_control/_order_sender.py
+++ b/libs/control/tarragonhall_control/_order_sender.py
@@ -122,7 +122,7 @@
 
     def _dispatch(self, step: Step) -> None:
         self._number += 1
-        # The term has one leader only, so the id is unique.
+        # A term has only one leader, so the id is unique.
         order = EngineOrder(
             f"order-{self._term}-{self._number}",
             self._term,
--- a/libs/control/tarragonhall_control/_relay_service.py
+++ b/libs/control/tarragonhall_control/_relay_service.py
@@ -29,8 +29,8 @@
 
 log = structlog.get_logger(__name__)
 
-# Operators try another member after a second. Going on for longer lets their retry find the
-# operation done.
+# Operators try another member after a second. This member continues for longer, so that their
+# retry finds the operation done.
 REQUEST_TIMEOUT_SECONDS = 2.0
 ATTEMPT_TIMEOUT_SECONDS = 1.0
 RETRY_DELAY_SECONDS = 0.05
--- a/libs/control/tarragonhall_control/_settings.py
+++ b/libs/control/tarragonhall_control/_settings.py
@@ -14,13 +14,13 @@
 class ControlSettings:
     """`members` maps each initial member's instance name to its link address.
 
-    `members` is empty for a member that waits to be added. `member_id` is set where members use
-    another name than their instance's. With `heal` the leader replaces and adds members by itself,
-    for platforms that replace machines; `losses_borne` is how many members, of control and of the
-    stores each, may be lost at once, and `zone_losses_borne` how many whole zones. An entry without
-    a heartbeat for `ownership_ms` no longer owns rates, and the tokens it granted have expired.
-    `region_by_zone` lists the deployment's availability zones; if empty, they are those of the
-    processes in the view.
+    `members` is empty for a member that waits to be added. `member_id` is set where a member's
+    name differs from its instance's. With `heal` the leader replaces and adds members by itself,
+    for platforms that replace machines. `losses_borne` is how many members of control, and likewise
+    of the stores, may be lost at once; `zone_losses_borne` is how many whole zones. An entry
+    without a heartbeat for `ownership_ms` no longer owns rates, and the tokens it granted have
+    expired. `region_by_zone` lists the deployment's availability zones; if empty, they are those of
+    the processes in the view.
     """
 
     data_folder: str
--- a/libs/entry/tarragonhall_entry/_attempts.py
+++ b/libs/entry/tarragonhall_entry/_attempts.py
@@ -1,7 +1,8 @@
 """Matches messages from sidecars to the attempts that this entry follows. No I/O.
 
-Messages are matched by attempt id, whatever connection they arrive on (chunks by both), so that an
-answer that is late or belongs to another attempt is dropped.
+The end of an attempt is matched by attempt id, whatever link it arrives on. A chunk must also
+arrive on the link of the latest dispatch or attach. An answer that is late or belongs to another
+attempt is dropped.
 """
 
 from __future__ import annotations
@@ -24,8 +25,8 @@
         if self.has_gap or chunk.index < len(self.texts):
             return None
         if chunk.index > len(self.texts):
-            # A chunk was lost. With the following ones the caller would read a text with a hole;
-            # the terminal event still carries the complete text.
+            # A chunk was lost. If the following ones were passed on, the caller would read a text
+            # with a gap; the terminal event still carries the complete text.
             self.has_gap = True
             return None
         self.texts.append(chunk.text)
--- a/libs/entry/tarragonhall_entry/_effects.py
+++ b/libs/entry/tarragonhall_entry/_effects.py
@@ -11,7 +11,8 @@
 from tarragonhall_decisions import Failure
 from tarragonhall_model import AttemptId, CallSpec, Dispatch, ServerRecord
 
-# At the pause in `_flow` this makes 3 seconds, far more than the holder's next commits take.
+# With `HOLDER_PAUSE_SECONDS` of `_flow`, the waits take 3 seconds in total, far longer than the
+# commits with which the holder dispatches or abandons the call.
 MAX_HOLDER_WAITS = 30
 
 
--- a/libs/entry/tarragonhall_entry/_requests.py
+++ b/libs/entry/tarragonhall_entry/_requests.py
@@ -56,7 +56,7 @@
 
 @dataclass(slots=True, frozen=True)
 class BoundedText:
-    """A non-empty string of bounded length."""
+    """A non-empty string of at most `maximum` characters."""
 
     maximum: int = MAX_TEXT
     default: Any = Text().default
--- a/libs/entry/tarragonhall_entry/_role.py
+++ b/libs/entry/tarragonhall_entry/_role.py
@@ -27,8 +27,9 @@
 DRAIN_REJECT_SECONDS = 1.0
 DRAIN_RETRY_MS = 100
 DRAIN_STEP_SECONDS = 0.02
-# The view without this entry is pushed within a round trip. Without it the token buckets cannot be
-# handed over, and their next owners must wait until this entry's lease expires.
+# Control pushes the view that no longer lists this entry within a round trip. Until it arrives, the
+# token buckets cannot be handed over; after this timeout they are not, and their next owners must
+# wait until this entry's lease expires.
 VIEW_TIMEOUT_SECONDS = 0.5
 
 
--- a/libs/entry/tarragonhall_entry/_runner.py
+++ b/libs/entry/tarragonhall_entry/_runner.py
@@ -59,9 +59,9 @@
 # An election takes about a second; after several seconds the outcome of a commit is unknown.
 COMMIT_TIMEOUT_SECONDS = 6.0
 QUERY_TIMEOUT_SECONDS = 1.0
-# A refusal as `not_run` costs control one query. The limit protects control from an organisation
-# far above its rate; further refusals wait. When the 33rd concurrent one got `unknown` at once
-# instead, its caller could not tell whether to send the call again.
+# Before a call is refused as `not_run`, control is queried once. The limit protects control from
+# an organisation far above its rate; further refusals wait for their query. If the 33rd concurrent
+# one got `unknown` at once instead, its caller could not tell whether to send the call again.
 MAX_CONCURRENT_QUERIES = 32
 # A separate, lower limit, so that requests without a valid key cannot use up the queries of
 # authenticated ones. A query takes a round trip of milliseconds: 4 serve hundreds per second.
@@ -69,9 +69,12 @@
 # The commit of a crash report takes a few milliseconds, or about a second during an election.
 MAX_QUARANTINE_QUERIES = 4
 QUARANTINE_PAUSE_SECONDS = 0.1
-# An early call usually waits a few milliseconds for the commit of its predecessor. A call sent far
-# out of order is refused after about 5 seconds; each try costs a commit.
+# A call is early if its predecessor, the program's previous call, has not ended. If the
+# predecessor runs at this entry, the early call waits for its end, at most this long.
 MAX_PREDECESSOR_WAIT_SECONDS = 30.0
+# Otherwise it tries to open again after growing pauses. It usually waits a few milliseconds for the
+# commit of its predecessor. A call sent far out of order is refused after about 5 seconds; each try
+# costs a commit.
 EARLY_MIN_PAUSE_SECONDS = 0.01
 EARLY_MAX_PAUSE_SECONDS = 0.4
 MAX_EARLY_TRIES = 16
