--- a/libs/relay/tarragonhall_relay/_admission.py
+++ b/libs/relay/tarragonhall_relay/_admission.py
@@ -1,4 +1,4 @@
-"""Admission of calls: route, organisation, home regions, crashes so far and rate.
+"""Admission of calls: checks the route, organisation, home regions, earlier crashes and rate.
 
 A rejection made here proves that the call did not run: no byte of it has left this process.
 """
@@ -35,12 +35,13 @@
 # more calls, and any of them that is rejected ends its program. The delay is about the length of
 # one turn, after which some of the running programs have ended.
 NEW_PROGRAM_RETRY_S = 0.7
-# An unreachable owner of a rate is replaced within two seconds. With the 20 ms that suit a bucket
-# that refills, a caller would use up its attempts before that.
+# An unreachable owner of a rate is replaced within two seconds. With the delay of 20 ms that suits
+# an empty token bucket, a client would use up its attempts before that.
 RATE_OWNER_RETRY_S = 0.5
-# Only an operator's command can change where calls bound to home regions may run.
+# Only an operator's command can change where calls bound to home regions may run, so an early
+# retry is of no use.
 HOME_REGION_RETRY_S = 5.0
-# A request that crashes servers must not return soon.
+# A request that crashes servers must not be retried soon.
 QUARANTINED_RETRY_S = 60.0
 
 
@@ -130,7 +131,7 @@
         message = "the organisation is over its rate; running programs go first"
         return Rejection(429, RefusalCode.RATE_EXCEEDED.value, message, NEW_PROGRAM_RETRY_S)
     program_started = bool(call.facts.program_id) and not starts_program
-    # Clients choose attempt ids, and two calls at a time could carry the same one.
+    # Clients choose attempt ids, and two concurrent calls could carry the same one.
     call_id = f"{call.facts.attempt_id}/{id(call)}"
     run_s = state.chooser.run_times(service).mean_run_s(call.route.name)
     refusal = state.rates.take(
--- a/libs/relay/tarragonhall_relay/_attempt.py
+++ b/libs/relay/tarragonhall_relay/_attempt.py
@@ -75,8 +75,9 @@
 ) -> Outcome:
     """Send a call to a server and read its response, or the head of its stream.
 
-    `answer_timeout_s` bounds the wait for the response; None waits until the call's deadline. The
-    connection is closed unless the outcome is an open stream or the response was read to its end.
+    `answer_timeout_s` bounds the wait for the response; None waits until the call's deadline.
+    `urgency` is the call's rank for a model engine; None for plain services. The connection is
+    closed unless the outcome is an open stream or the response was read to its end.
     """
     try:
         connection = state.pool.acquire(server)
--- a/libs/relay/tarragonhall_relay/_call.py
+++ b/libs/relay/tarragonhall_relay/_call.py
@@ -1,8 +1,8 @@
 """One relayed call: admission, turn, attempts on backend servers, response.
 
 A call runs at most once for each attempt of the client. The guarantee need not outlive this
-process, so it costs no commit. A call is sent to another server only if a server said, or a failed
-connection proves, that it did not run, or if its route is idempotent.
+process, so nothing is committed to the stores for it. A call is sent to another server only if a
+server said, or a failed connection proves, that it did not run, or if its route is idempotent.
 """
 
 from __future__ import annotations
@@ -162,7 +162,7 @@
     def _end_unplaced(self, rejection: Rejection) -> Rejection | None:
         """Return the rejection of a call that got no server; None if a response was sent here."""
         if self._slot.may_have_run_on:
-            # One of the servers may have run it, and a rejection would deny that.
+            # One of the servers may have run it, but a rejection says that none did.
             self._fail("one server failed after it had the call, and no other one accepted it")
             return None
         return rejection
@@ -277,7 +277,8 @@
         """Return the seconds after which an idempotent call is sent to another server, or None.
 
         Without the retry, a call whose response is lost would fail its program. The retry budget
-        grows by one for ten responses, so that an overload that slows every call is not doubled.
+        grows by one retry for every ten responses, so that retries do not double the load when an
+        overload slows every call.
         """
         route = self._admitted.route
         if route.call_type is not CallType.IDEMPOTENT:
--- a/libs/relay/tarragonhall_relay/_call_slot.py
+++ b/libs/relay/tarragonhall_relay/_call_slot.py
@@ -14,23 +14,25 @@
 
 # After a restart of the whole system a leader is elected within little more than a second, and
 # servers register within another. A caller that is rejected at once uses up its few attempts before
-# then, and its program fails. What has not come after this time is not expected soon.
+# then, and its program fails. A leader or server that is still missing after
+# this time is not expected soon.
 MAX_READY_WAIT_S = 1.6
 # Part of a call's time limit that this wait may take; the rest is for running.
 READY_WAIT_FRACTION = 0.4
 READY_POLL_S = 0.02
 # Delay before an unreachable server is tried again when no other one is left.
 UNREACHABLE_RETRY_S = 0.06
-# Each refusal by a server costs a round trip, and the stores hold the call's turn open meanwhile.
+# Each refusal by a server costs a round trip, and the tokens of the call stay reserved meanwhile.
 MAX_REFUSALS = 12
-# Time until slots become free when every server is full, and until a new server has registered.
+# Retry delays for clients: the time until slots become free when every server is full, and until a
+# new server has registered.
 FULL_RETRY_S = 0.15
 NO_SERVER_RETRY_S = 0.8
 # Later turns of a program go to the server of its first one, each with the whole history, so a
 # first call is weighed as this many turns.
 EXPECTED_TURNS = 4
 # A first call that waits longer than this share of its latency objective makes its program late,
-# and those that wait with it. Rejected by then, it can still meet the objective on a retry.
+# and those queued with it. If it is rejected by then, a retry can still meet the objective.
 FIRST_CALL_WAIT_FRACTION = 0.5
 
 
@@ -140,7 +142,10 @@
         return urgency_of(priority, self._call.route.priority)
 
     def _is_blocked(self) -> bool:
-        """Return whether no server of the service may run the call until operators intervene."""
+        """Return whether the call is rejected without a wait for servers.
+
+        That is so if the service is evacuated, or if no known server is in the call's home zones.
+        """
         chooser = self._state.chooser
         if chooser.is_evacuated(self.service):
             return True
@@ -182,7 +187,7 @@
         if begins and call.route.objective_ms:
             max_wait_s = FIRST_CALL_WAIT_FRACTION * call.route.objective_ms / 1000
         return QueuedCall(
-            # Clients choose attempt ids, and two calls at a time could carry the same one.
+            # Clients choose attempt ids, and two concurrent calls could carry the same one.
             f"{call.facts.attempt_id}/{id(self)}",
             call.org_id or "",
             call.facts.program_id,
--- a/libs/relay/tarragonhall_relay/_call_turn.py
+++ b/libs/relay/tarragonhall_relay/_call_turn.py
@@ -102,7 +102,7 @@
         return len(body) + (len(self._open_turn.history) if self._open_turn is not None else 0)
 
     def persist(self, body: bytes, output: bytes, used: int, server_id: str) -> None:
-        """Store the completed turn; raise `IncompleteResponseError` if that is uncertain."""
+        """Store the completed turn; raise `IncompleteResponseError` if that may have failed."""
         if self._open_turn is None:
             return
         try:
--- a/libs/relay/tarragonhall_relay/_client.py
+++ b/libs/relay/tarragonhall_relay/_client.py
@@ -32,7 +32,8 @@
 # resets the connection, and the client could lose a response that is still in transit.
 LINGER_S = 0.5
 TRANSFER_ENCODING = b"transfer-encoding"
-# Bytes of a request line and of a header line besides their parts.
+# Bytes that a request line and a header line have in addition to their parts: separators, the
+# HTTP version and the line end.
 REQUEST_LINE_OVERHEAD = len("  HTTP/1.1\r\n")
 HEADER_LINE_OVERHEAD = len(": \r\n")
 # Headers that concern a single connection or frame a body; they are not forwarded.
@@ -223,6 +224,11 @@
         return []
 
     def _read_head(self) -> h11.Request | None:
+        """Return the head of the next request, or None at the end of the connection.
+
+        The idle timeout applies until the first bytes arrive; then the whole head must arrive
+        within the header timeout.
+        """
         wait_s = self._limits.idle_timeout_ms / 1000
         first = True
         deadline: eventlet.Timeout | None = None
--- a/libs/relay/tarragonhall_relay/_followers.py
+++ b/libs/relay/tarragonhall_relay/_followers.py
@@ -48,7 +48,8 @@
 # them. Unchanged load is repeated every second round, before it expires at the others.
 LOAD_INTERVAL_SECONDS = 0.4
 LOAD_REPEAT_ROUNDS = 2
-# Seconds between two digests of a collector. Their load is two hops older than that of an entry.
+# Seconds between two digests of a collector, an entry that sums the loads of its zone (see
+# `LoadDigest`). Load in a digest is two hops older than load that an entry sends itself.
 DIGEST_INTERVAL_SECONDS = 0.3
 
 
@@ -204,7 +205,7 @@
     def report_exhausted(self, message: ProgramSpent) -> None:
         """Report an exhausted budget to the other entries of the zone.
 
-        The other turns of the program arrive there.
+        The other turns of the program arrive at entries of this zone.
         """
         for entry in self._follower.view.entries:
             if entry.availability_zone != self._context.availability_zone:
@@ -230,7 +231,8 @@
         try:
             self._context.hub.link_to(address).send(message)
         except LinkError:
-            # Load is sent again, and a crashing request or exhausted budget shows there as well.
+            # Load is sent again, and the other entry notices a crashing request or an exhausted
+            # budget by itself when it runs a call.
             self._context.metrics.count("relay.peer_untold")
 
     def _on_load(self, _link: Link, message: EntryLoad) -> None:
@@ -251,7 +253,7 @@
 
 
 class BackendFollower:
-    """Follows the backend servers, at all control members in parallel."""
+    """Subscribes to changes of the backend servers, at all control members in parallel."""
 
     __slots__ = (
         "_context",
--- a/libs/relay/tarragonhall_relay/_report.py
+++ b/libs/relay/tarragonhall_relay/_report.py
@@ -9,7 +9,7 @@
 
 log = structlog.get_logger(__name__)
 
-# Steps with a histogram: the turn is reserved, the first event was sent.
+# Steps with a histogram: the turn is reserved, the first event has arrived from the server.
 HISTOGRAM_STEPS = ("ready_ms", "first_ms")
 
 
--- a/libs/relay/tarragonhall_relay/_role.py
+++ b/libs/relay/tarragonhall_relay/_role.py
@@ -1,4 +1,4 @@
-"""The relay role of an entry process: accepts clients, follows control, drains."""
+"""The relay role of an entry process: accepts clients, applies updates from control, drains."""
 
 from __future__ import annotations
 
@@ -45,7 +45,8 @@
 # The balancer checks readiness once a second and removes a process after two failures. Until then
 # new clients still connect here and must be served.
 BALANCER_REMOVAL_SECONDS = 2.5
-# Leaving hands the rates over at once. Without a reply the missing heartbeats do so later.
+# The request to leave hands over the rates of this entry at once. If it gets no reply, they are
+# handed over later, after the heartbeats stop.
 LEAVE_TIMEOUT_SECONDS = 0.5
 
 
@@ -148,7 +149,10 @@
         return any(self.state.chooser.servers(name) for name in services)
 
     def drain(self, timeout_s: float) -> bool:
-        """Become not ready, finish all calls and leave; return whether all clients are gone."""
+        """Become not ready, finish all calls and leave the view.
+
+        Returns whether all clients are gone.
+        """
         deadline = self._context.monotonic() + timeout_s
         self.state.draining = True
         for client in self._clients:
@@ -162,7 +166,7 @@
             eventlet.sleep(DRAIN_POLL_SECONDS)
         ended = not self._clients
         log.info("relay.drained", calls=self.state.calls_in_flight, ended=ended)
-        # Only now: once it has left the view, this entry gets no rate tokens for its calls.
+        # Leave last: outside the view this entry would get no rate tokens for its remaining calls.
         self._control.leave(self._context.entry_record(), LEAVE_TIMEOUT_SECONDS)
         return ended
 
--- a/libs/relay/tarragonhall_relay/_slots.py
+++ b/libs/relay/tarragonhall_relay/_slots.py
@@ -18,8 +18,8 @@
 )
 from tarragonhall_model import BackendRecord, Refusal
 
-# The call at the head may have to avoid the only server with a free slot, since that server failed
-# or refused it; this many such calls are passed over.
+# The call at the head may have to avoid the only server with a free slot, since it was unreachable
+# or failed. Up to this many such calls are skipped, so that they do not block those behind them.
 MAX_SKIPPED_CALLS = 4
 # Capacity windows open and deadlines pass also while no call ends, so the queues are polled.
 QUEUE_POLL_S = 0.02
@@ -73,7 +73,7 @@
     ) -> Slot | Refusal:
         """Wait for a slot; return it, or the refusal if none comes in time.
 
-        The caller must pass the slot to `release`, or to `reacquire` if the server was full.
+        The caller must pass the slot to `release`, or to `reacquire` to try another server.
         """
         queue = self._queue(requirements.service)
         waiter = _Waiter(requirements)
@@ -82,7 +82,7 @@
         return self._wait(call, waiter)
 
     def reacquire(self, slot: Slot, requirements: CallRequirements) -> Slot | Refusal:
-        """Exchange the slot for another one after its server did not run the call."""
+        """Exchange the slot for another one after its server did not run the call or failed."""
         self._leave_server(slot)
         waiter = _Waiter(requirements)
         self._waiter_by_id[slot.queued.call_id] = waiter
@@ -146,7 +146,8 @@
                 continue
             skipped.append(call)
             if not requirements.avoid:
-                # If no server has a free slot for a call that may go anywhere, none has for others.
+                # A call that avoids no server found no free slot, so those behind it would find
+                # none either, unless this call is bound to home regions.
                 break
         for call in skipped:
             queue.requeue(call)
--- a/libs/relay/tarragonhall_relay/_sockets.py
+++ b/libs/relay/tarragonhall_relay/_sockets.py
@@ -1,4 +1,4 @@
-"""Socket options, and the check whether an idle connection is still usable."""
+"""Socket options, and a check that an idle connection is still usable."""
 
 from __future__ import annotations
 
@@ -6,8 +6,9 @@
 
 from eventlet.green import socket
 
-# A connection is closed when bytes stay unacknowledged for so long: a device in between may have
-# dropped its state, and no reset ever comes. Longer than the usual short pause of a machine.
+# A connection is closed when sent bytes stay unacknowledged for so long: a network device in
+# between may have dropped its state without a reset. Longer than the usual short pause of a
+# machine.
 USER_TIMEOUT_MS = 2_000
 # TCP keepalive, for the same fault on idle connections.
 KEEPALIVE_IDLE_S = 2
--- a/libs/relay/tarragonhall_relay/_turn_store.py
+++ b/libs/relay/tarragonhall_relay/_turn_store.py
@@ -79,8 +79,8 @@
         self._client = LeaderClient(context, store_addresses)
         self._cache: OrderedDict[str, TurnContent] = OrderedDict()
         self._cached_bytes = 0
-        # Stores that did not reply or had none of the turns last requested are tried last: each
-        # read would waste a round trip on a standby.
+        # Stores that did not reply or had none of the turns last requested are tried last;
+        # otherwise each read would waste a round trip on a standby.
         self._deferred_stores: set[str] = set()
 
     def reserve(self, key: TurnKey, timeout_s: float) -> OpenTurn | BudgetSpent | UnknownTurn:
@@ -118,7 +118,7 @@
     def persist(
         self, turn: OpenTurn, body: bytes, output: bytes, used: int, server_id: str
     ) -> None:
-        """Store a completed turn; raise `UnavailableError` if that is uncertain."""
+        """Store a completed turn; raise `UnavailableError` if it may not have been stored."""
         key = turn.key
         command = KeepTurn(
             key.attempt_id,
