--- a/libs/decisions/tarragonhall_decisions/_bucket.py
+++ b/libs/decisions/tarragonhall_decisions/_bucket.py
@@ -26,6 +26,7 @@
 TURN_REFILL_S = 0.02
 # Seconds for which a turn stays reserved for a holder that is late.
 TURN_GRACE_S = 0.1
+# Minimum `retry_after_ms` of a holder that is queued; 0 would mean that nothing is missing.
 MIN_RETRY_MS = 5
 # Tolerance for rounding: a sum of fractions may fall just short of a whole token.
 EPSILON = 1e-9
--- a/libs/decisions/tarragonhall_decisions/_deadlines.py
+++ b/libs/decisions/tarragonhall_decisions/_deadlines.py
@@ -16,7 +16,7 @@
 # (0.5 ms each), one sync to disk (a few ms), and the delay of a busy event loop.
 REPLY_MARGIN_MS = 50
 # Weight of a new run time in the moving average: it follows a change within about eight calls, and
-# one outlier moves it by an eighth only.
+# one outlier moves it by an eighth only. TCP uses the same weight for its round-trip estimate.
 SMOOTHING = 0.125
 # Bounds of the `retry_after_ms` of a refusal.
 MIN_RETRY_AFTER_MS = 20
@@ -64,10 +64,10 @@
 
 @dataclass(slots=True)
 class RunTimes:
-    """Smoothed run times of finished calls by target.
+    """Smoothed run times and generated tokens of answered calls, by target.
 
-    Model calls are measured per generated token, service calls per call; both start from
-    `initial_s`.
+    A target without an answered call is expected to run for `initial_s` and to generate the
+    call's `max_tokens`.
     """
 
     initial_s: float = 0.2
--- a/libs/decisions/tarragonhall_decisions/_earlier_owners.py
+++ b/libs/decisions/tarragonhall_decisions/_earlier_owners.py
@@ -1,4 +1,4 @@
-"""From when on no previous owner of a bucket can grant tokens any more, as far as this entry knows.
+"""When the previous owners of a bucket have stopped, as far as this entry knows.
 
 Load pattern: entries are killed and restarted, lose power, or are added, and each change makes the
 organisations they own wait. This module decides for how long, from what the view says about owners
@@ -11,14 +11,15 @@
 
 from tarragonhall_decisions._bucket import SLICE_VALID_S
 
+# Version of the entries in the view in which the first entry appears.
 FIRST_ENTRIES_VERSION = 1
 
 
 class EarlierOwners:
     """The wait for previous owners of this entry's buckets. Times are monotonic seconds.
 
-    They cannot grant from `settled_at` on; a bucket that starts then is refilled from
-    `refilled_from`.
+    They grant nothing after `refilled_from`, and the slices that they granted have expired at
+    `settled_at`. A bucket starts at `settled_at` with the tokens refilled since `refilled_from`.
     """
 
     __slots__ = (
--- a/libs/decisions/tarragonhall_decisions/_fair_queue.py
+++ b/libs/decisions/tarragonhall_decisions/_fair_queue.py
@@ -43,8 +43,10 @@
 # Attained tokens beyond this do not worsen a program's rank. It bounds the extra wait of the
 # longest program to ten seconds.
 ATTAINED_CAP = 2_400.0
-# A waiting call does not expire in this first share of its time.
+# The expected run time makes no call expire in this first share of its time; `latest_start` says
+# why.
 MIN_WAIT_SHARE = 0.5
+# Avoids a division by zero for a weight of 0.
 MIN_WEIGHT = 1e-6
 
 
@@ -76,8 +78,12 @@
     def latest_start(self) -> float:
         """Return the time after which it is too late to start.
 
-        A call never expires in the first half of its time. Otherwise run times learnt from longer
-        calls would refuse every call with a short timeout, and no new run times would be learnt.
+        The expected run time counts for at most half of the call's time. Otherwise run times learnt
+        from longer calls would refuse every call with a short timeout, and no new run times would
+        be learnt. `max_wait_s` may end the wait sooner.
+
+        Up to that limit, the whole expected run time must be left: under overload every call waits
+        until just then, and when half of the run time sufficed, 34 of 317 answers came too late.
         """
         time_left = self.deadline.at - self.arrived
         needed = min(self.run_s, MIN_WAIT_SHARE * time_left)
--- a/libs/decisions/tarragonhall_decisions/_owned_buckets.py
+++ b/libs/decisions/tarragonhall_decisions/_owned_buckets.py
@@ -28,7 +28,10 @@
 
 @dataclass(slots=True, frozen=True)
 class PeerMessage:
-    """Send a message to a peer entry; losing it costs tokens, never correctness."""
+    """Send a message to a peer entry.
+
+    If it is lost, calls may wait longer, but no rate is exceeded.
+    """
 
     entry_id: str
     message: ReturnTokens | HandOver
@@ -36,8 +39,9 @@
 
 @dataclass(slots=True)
 class _OwnedBucket:
-    """A bucket owned in the current view; None while previous owners are waited out."""
+    """A bucket owned in the current view; `bucket` is None while previous owners are waited out."""
 
+    # Version of the entries since which this entry has owned it; older hand-overs are ignored.
     since_version: int
     usable_from: float
     # Time from which on tokens are refilled.
@@ -177,7 +181,7 @@
         return view.entries_version > self._entries_version + 1
 
     def _apply_entries(self, view: View, missed: bool) -> None:
-        """Set the entries of the view, and whether this entry may own more than before."""
+        """Set the view's entries; record their version if this entry may own more than before."""
         ids = {entry.entry_id for entry in view.entries}
         was_member = self._is_member
         lost = self._owners.set_entries(ids)
--- a/libs/decisions/tarragonhall_decisions/_rate.py
+++ b/libs/decisions/tarragonhall_decisions/_rate.py
@@ -6,11 +6,12 @@
 times the number of entries.
 
 One entry owns the bucket of an organisation, chosen by rendezvous hashing over the entries in the
-view. The others (and the owner for itself) draw slices of tokens for waiting calls, and spend each
-slice within `valid_ms` of their request for it. A call waits for its token as long as that leaves
-half of its time to run. A call that would wait longer is refused at once, with the time after which
-there is room. Calls of programs that have started go before calls that start a program, so that an
-organisation over its rate finishes programs instead of starting more.
+view. Every entry with waiting calls, the owner included, is a holder: it requests tokens from the
+owner, gets them in slices, and spends each slice within `valid_ms` of its request for it. A call
+waits for its token as long as that leaves half of its time to run. A call that would wait longer is
+refused at once, with the time after which there is room. Calls of programs that have started go
+before calls that start a program, so that an organisation over its rate finishes programs instead
+of starting more.
 
 Owner changes: an owner grants only within a lease after the control group confirmed its view, so
 every previous owner has stopped one lease after the entries changed. A new owner starts with an
@@ -20,8 +21,8 @@
 incarnation's slices. Without this rule, an entry killed and back after one second would stop its
 organisations for another second and a half.
 
-Control counts these changes (`View.owners_version`). An entry that missed one drops all its
-buckets, because another entry may have owned them and started new ones.
+The control group counts the changes of owners (`View.owners_version`). An entry that missed one
+drops all its buckets, because another entry may have owned them and started new ones.
 
 Known limit: an organisation's calls wait while a dead owner is waited out. They are admitted
 afterwards if less than half of their time has passed.
--- a/libs/decisions/tarragonhall_decisions/_rate_holder.py
+++ b/libs/decisions/tarragonhall_decisions/_rate_holder.py
@@ -26,20 +26,22 @@
 MAX_WAIT_S = 10.0
 # Maximum share of its time that a call may wait for a token.
 WAIT_SHARE = 0.5
-# A call of a started program may wait longer if this many times its run time is then still left.
+# A call of a started program may wait longer than `WAIT_SHARE` allows, as long as this many times
+# its run time is left afterwards.
 RUN_MARGIN = 4.0
 # Seconds after which a spent slice is reported to the owner, unless a request reports it sooner. A
 # few round trips: the owner does not refill the tokens of a slice before it ends.
 REPORT_AFTER_S = 0.02
 # Seconds after which an unanswered request counts as lost: far above a round trip plus the delay of
-# a busy entry. A call waits this long before it turns to another owner.
+# a busy entry. Calls wait at least this long before the request is repeated.
 REQUEST_TIMEOUT_S = 0.08
 # Seconds for which an owner that did not answer counts as unreachable.
 UNREACHABLE_S = 1.0
 # Bounds of the pause, in seconds, before the next request to an owner that cannot grant. The upper
-# one detects a hand-over that ends the wait early, at four messages a second.
+# one limits how late a hand-over that ends the wait early is noticed, at four messages a second.
 MIN_PAUSE_S = 0.05
 MAX_PAUSE_S = 0.25
+# Avoids a division by zero for a rate of 0.
 MIN_RATE = 1e-6
 # Seconds for which a report of an exhausted bucket stays valid; about the time of one call.
 EXHAUSTED_S = 0.3
@@ -62,7 +64,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EndedSlice:
-    """A slice with nothing left to spend; its `unspent` tokens return to the owner."""
+    """A slice that is no longer used; its `unspent` tokens return to the owner."""
 
     owner: str
     slice_id: str
@@ -137,7 +139,10 @@
         return None
 
     def patience_ms(self, now: float) -> int | None:
-        """Return the time until the first waiting call times out, None if it starts a program."""
+        """Return the time until the first waiting call times out.
+
+        None if no call waits, or if the first one starts a program.
+        """
         if not self.waiting or not self.waiting[0].started:
             return None
         return max(0, int((self.waiting[0].times_out_at - now) * 1000))
@@ -237,7 +242,7 @@
         self._backlog = 0.0
 
     def next_wake(self) -> float | None:
-        """Return when something is due."""
+        """Return when the next step is due, None if nothing is."""
         times = [call.times_out_at for call in self.waiting]
         if self.report_at is not None:
             times.append(self.report_at)
--- a/libs/decisions/tarragonhall_decisions/_rate_reserve.py
+++ b/libs/decisions/tarragonhall_decisions/_rate_reserve.py
@@ -6,7 +6,7 @@
 
 Operators allow a rate to be exceeded slightly over a window: by a share of it plus a number of
 calls. While no owner answers, entries use a part of that, divided among them. What all of them
-admit together stays within the allowed excess, even if they do not know of each other.
+admit together stays within the allowed excess, even if one of them is not known to the others yet.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 
 from tarragonhall_model import Rate
 
-# Share of the allowed excess that entries may admit without an owner. The rest is left for calls
-# granted late that arrive together.
+# Share of the allowed excess that entries may admit without an owner. The remaining third is for
+# calls that got their tokens late and then run together.
 SAFE_SHARE = 0.67
 # Number of entries that may have started without this one knowing yet.
 UNKNOWN_ENTRIES = 1
--- a/libs/decisions/tarragonhall_decisions/_retry.py
+++ b/libs/decisions/tarragonhall_decisions/_retry.py
@@ -2,8 +2,7 @@
 
 Load pattern: a server fails or slows down and every call to it is retried. Without a budget,
 retries multiply the load just when there is least capacity, and keep the system down after the
-cause is gone. A retry without proof that the first attempt did not run can bill a
-customer twice.
+cause is gone. A retry without proof that the first attempt did not run can bill a customer twice.
 
 An attempt that a sidecar rejected, or that ended `NOT_RUN`, is proven not to have run: the sidecar
 stores a tombstone and can never run it. Any other attempt without an answer is `unknown`, and a
@@ -33,8 +32,8 @@
 INITIAL_RETRIES = 10.0
 # Maximum number of retries in the budget.
 MAX_SAVED_RETRIES = 100.0
-# Maximum servers that may run one call. Two servers that fail together are an everyday event, three
-# are not: 37 of 360 instances fail on a day.
+# Maximum number of servers that may run one call. 37 of 360 instances fail on a day, so two servers
+# that fail together are an everyday event; three are not.
 MAX_ATTEMPTS = 3
 # Maximum attempts of one call, including those that servers reject.
 MAX_REJECTED_ATTEMPTS = 8
@@ -53,7 +52,10 @@
 
 @dataclass(slots=True, frozen=True)
 class LinkLost:
-    """The link to the sidecar broke, or no reply came in time, and `Attach` did not help."""
+    """The link to the sidecar broke, or no reply came in time.
+
+    An `Attach` for the attempt did not yield its outcome either.
+    """
 
 
 Failure = Rejected | AttemptOutcome | LinkLost
--- a/libs/decisions/tarragonhall_decisions/_service_queue.py
+++ b/libs/decisions/tarragonhall_decisions/_service_queue.py
@@ -11,7 +11,7 @@
 - One organisation sends many times its share. Within a tier, organisations take turns
   (`FairQueue`).
 - Programs that never end always have calls waiting. If every slot went to them first, no other
-  program would start, so one slot in `FIRST_CALLS_EVERY` goes to a first call.
+  program would start, so one slot in `FIRST_CALLS_EVERY` goes to the first call of a program.
 
 A call whose wait is known to exceed its `max_wait_s` is refused at once, with the time after which
 there should be room. These times are spread, because callers refused together would otherwise retry
@@ -29,7 +29,7 @@
 from tarragonhall_decisions._fair_queue import Dropped, FairQueue, QueuedCall
 from tarragonhall_decisions._in_service import InService
 
-# One slot in so many goes to a first call: programs of ten calls and more keep seven slots of
+# One slot in this many goes to a first call: programs of ten calls and more keep seven slots of
 # eight, and new programs get one at least every few run times.
 FIRST_CALLS_EVERY = 8
 # Minimum retry time of a refusal, in seconds; a few calls end within it.
--- a/libs/decisions/tarragonhall_decisions/_store_bootstrap.py
+++ b/libs/decisions/tarragonhall_decisions/_store_bootstrap.py
@@ -7,8 +7,8 @@
 other stores are standbys that replace a lost member.
 
 No process knows how many stores a deployment has; they start within moments of each other. The
-leader waits until there are enough to tolerate the losses, and, if they are to be in one zone, for
-the rest of the same start.
+leader waits until there are enough to tolerate the losses. If the members may all be in one zone,
+it then waits a little for stores that start at the same time, until one zone has enough of them.
 """
 
 from __future__ import annotations
@@ -17,7 +17,8 @@
 
 from tarragonhall_model import StoreRecord, View
 
-# Seconds without a new store after which the deployment is assumed to have no more.
+# Seconds without a new store after which the deployment is assumed to have no more; the group is
+# then bootstrapped with fewer members.
 DISCOVERY_WAIT_S = 4.0
 # Seconds without a new store after which a group is bootstrapped even if it spans several zones.
 SAME_ZONE_WAIT_S = 1.5
--- a/libs/decisions/tarragonhall_decisions/_urgency.py
+++ b/libs/decisions/tarragonhall_decisions/_urgency.py
@@ -12,6 +12,7 @@
 
 from __future__ import annotations
 
+# Number of ranks of each priority: three by three give the nine urgencies from 1 to 9.
 RANKS = 3
 MOST_URGENT = 1
 
--- a/libs/rates/tarragonhall_rates/_rates.py
+++ b/libs/rates/tarragonhall_rates/_rates.py
@@ -31,8 +31,11 @@
 )
 from tarragonhall_wire import ProcessContext
 
-# Timeout of a request to a peer; the limiter itself stops waiting for the reply sooner.
+# Timeout of a request to a peer. The limiter repeats an unanswered request sooner, but a late reply
+# still brings its tokens.
 PEER_TIMEOUT_S = 0.25
+# The tick loop runs at least this often: `next_wake` does not cover the removal of holders that are
+# no longer used.
 MAX_IDLE_S = 1.0
 # Wait before the reserve is used. A token arrives within two round trips, so after this time its
 # owner is probably unreachable.
