--- a/libs/consensus/tarragonhall_consensus/_limits.py
+++ b/libs/consensus/tarragonhall_consensus/_limits.py
@@ -37,15 +37,16 @@
     message_bytes: int = 256 * 1024
     # Enough to keep a peer busy for one round trip; bounds the bytes in flight to a peer at 2 MB.
     in_flight_messages: int = 8
-    # Maximum number of voters; 0 means no limit. Further members hold the log as learners and are
-    # promoted when a voter is unresponsive. The number is kept odd: four voters that are
-    # partitioned into two halves have no majority on either side, and three survive the same single
-    # loss.
+    # Maximum number of voters; 0 means no limit, for groups whose members operators choose. Further
+    # members hold the log as learners and are promoted when a voter is unresponsive. The number is
+    # kept odd: four voters that are partitioned into two halves have no majority on either side,
+    # and three survive the same single loss.
     max_voters: int = 0
     # A learner may be promoted to make up for a voter without contact for this long. Shorter than
     # `RECEIVE_TIMEOUT_SECONDS` of the links, after which one is closed and redialled.
     unresponsive_seconds: float = 2.5
-    # Without a majority nothing commits; beyond this a proposal is rejected without being logged.
+    # Bounds memory while there is no majority and nothing commits: beyond this a proposal is
+    # rejected without being logged.
     uncommitted_bytes: int = 8 * 1024 * 1024
     # A snapshot transfer to a peer without contact for this long is abandoned, since its bytes are
     # held in memory. Long enough for a peer to load the whole state.
--- a/libs/consensus/tarragonhall_consensus/_snapshots.py
+++ b/libs/consensus/tarragonhall_consensus/_snapshots.py
@@ -12,6 +12,7 @@
 
 SNAPSHOT_SUFFIX = ".snapshot"
 TEMPORARY_SUFFIX = ".tmp"
+# Payload of one data frame; each frame has a checksum of its own, which locates damage.
 SNAPSHOT_FRAME_BYTES = 256 * 1024
 
 
--- a/libs/entry/tarragonhall_entry/_authentication.py
+++ b/libs/entry/tarragonhall_entry/_authentication.py
@@ -11,6 +11,8 @@
 )
 from tarragonhall_state import Follower
 
+# Retry delay for callers while the settings may be stale; by then another heartbeat may have
+# confirmed them.
 STALE_RETRY_MS = 1_000
 
 
